--- a/src/services/preparation/common/coordinatorChoice.ts
+++ b/src/services/preparation/common/coordinatorChoice.ts
@@ -1,31 +1,30 @@
 /**
- * Which plan a job belongs to, and which node's coordinator keeps it. All nodes that know the same members and upstreams
- * choose alike; no agreement is needed, since two coordinators for a while cost only work.
+ * Chooses the plan of a job and the node that coordinates each plan. Nodes with the same view of members and upstreams make
+ * the same choice. No consensus is needed: two coordinators for a while only cause extra work.
  */
 import { rankByRendezvous } from '../../../base/common/rendezvous.ts'
 
 export interface CoordinatorCandidate {
   readonly address: string
   readonly hall: string
-  /** Grows with each boot. */
+  /** Increases with each start of the process. */
   readonly incarnation: number
-  /** How much the host can do, against the others. */
+  /** Capacity of the host relative to the others. */
   readonly weight: number
 }
 
-/** An upstream that makes pieces, as far as plans are concerned. */
 export interface PlannedUpstream {
   readonly role: string
   readonly hall: string
 }
 
 /**
- * With fewer upstreams of a role in a hall, batches over all halls are so much fuller that one plan is better. With
- * more, a plan for each hall keeps results within it and shares out the work of planning.
+ * With fewer upstreams of a role per hall, a single plan is better, since batches across all halls are much fuller. With
+ * more, a plan for each hall keeps results in the hall and distributes the work of planning.
  */
 const MIN_UPSTREAMS_PER_HALL = 2
 
-/** Halls with a plan of their own, in the order in which a job should try them; an empty hall stands for one plan for all. */
+/** Returns the halls that have their own plan, in the order in which a job should try them; an empty hall means one plan for all halls. */
 export function listPlans (upstreams: readonly PlannedUpstream[], key: string): readonly string[] {
   const halls = [...new Set(upstreams.map(upstream => upstream.hall))]
   const counts = new Map<string, number>()
@@ -35,16 +34,16 @@
   return rankByRendezvous(key, halls)
 }
 
-/** Plans for a job that only some halls may serve: those of these halls alone, since a plan of all would use others too. */
+/** Returns the plans for a job restricted to its home halls: only plans of single halls, since a plan of all halls would use others too. */
 export function listHomePlans (upstreams: readonly PlannedUpstream[], key: string, homeHalls: readonly string[]): readonly string[] {
   const halls = new Set(upstreams.map(upstream => upstream.hall))
   return rankByRendezvous(key, homeHalls.filter(hall => halls.has(hall)))
 }
 
 /**
- * The strongest host, and of these the node that has run for longest: one that comes back after a restart does not take
- * the jobs away from the one that replaced it, since two coordinators do not see each other's results in the upstreams'
- * room. For a hall's plan, a node of that hall if there is one.
+ * Chooses a node on the host with the highest weight, and of these the one that has run for longest. A node that returns
+ * after a restart thus does not take jobs over from its replacement: two coordinators do not see how much room each other's
+ * results occupy at the upstreams. For the plan of a hall, nodes of that hall are preferred.
  */
 export function chooseCoordinator (candidates: readonly CoordinatorCandidate[], hall = ''): string | undefined {
   const near = candidates.filter(candidate => candidate.hall === hall)
--- a/src/services/preparation/common/heldResults.ts
+++ b/src/services/preparation/common/jobResults.ts
@@ -1,5 +1,5 @@
 /**
- * Gives results of jobs back, and has lost ones made again.
+ * Tracks the results of jobs at upstreams: restores, frees and recomputes them.
  */
 import type { JobState } from './jobState.ts'
 import type { PieceState } from './pieceState.ts'
@@ -7,13 +7,13 @@
 import type { PendingFrees } from './pendingFrees.ts'
 import type { CarriedPiece, PieceResult } from './preparationJob.ts'
 
-export class HeldResults {
+export class JobResults {
   constructor (
     private readonly _upstreams: ReadonlyMap<string, PieceUpstream>,
-    private readonly _frees: PendingFrees
+    private readonly _pendingFrees: PendingFrees
   ) {}
 
-  /** Has pieces made again whose results are lost. */
+  /** Returns pieces with lost results to waiting, so that they are computed again. */
   reopenLost (state: JobState, isLost: (result: PieceResult, piece: PieceState) => boolean): void {
     state.pieces.forEach((pieces, stage) => {
       const bytes = state.job.stages[stage]?.resultBytes ?? 0
@@ -25,7 +25,7 @@
     })
   }
 
-  /** Takes results of an earlier plan over, as far as they still lie at their makers. */
+  /** Adopts results of an earlier plan if their upstream is known and their lifetime has not ended. */
   restore (state: JobState, carried: readonly CarriedPiece[], now: number): void {
     for (const { stage, index, result, ageMs } of carried) {
       const piece = state.pieces[stage]?.[index]
@@ -33,12 +33,12 @@
       if (piece === undefined || piece.status === 'made' || upstream === undefined || ageMs >= upstream.work.resultLifetimeMs) continue
       piece.status = 'made'
       piece.result = result
-      piece.madeAt = now - ageMs
-      upstream.holdRoom(state.job.stages[stage]?.resultBytes ?? 0)
+      piece.computedAt = now - ageMs
+      upstream.reserveRoom(state.job.stages[stage]?.resultBytes ?? 0)
     }
   }
 
-  /** The results stay where they are and count no more. */
+  /** Stops counting the room of the job's results without freeing them. */
   forgetAll (state: JobState): void {
     state.pieces.forEach((pieces, stage) => {
       const bytes = state.job.stages[stage]?.resultBytes ?? 0
@@ -60,6 +60,6 @@
     piece.status = 'freed'
     piece.result = undefined
     if (result === undefined || !this._upstreams.has(result.upstreamId)) return
-    this._frees.add(result, bytes)
+    this._pendingFrees.add(result, bytes)
   }
 }
--- a/src/services/preparation/common/jobState.ts
+++ b/src/services/preparation/common/jobState.ts
@@ -1,5 +1,5 @@
 /**
- * One job at its coordinator: which pieces wait, run, are made, or were given back.
+ * State of a job at its coordinator: which pieces are waiting, running, computed or freed.
  */
 import { JobClock } from './jobTimes.ts'
 import { StagePieces } from './pieceState.ts'
@@ -7,10 +7,10 @@
 import { listLastStages } from './preparationJob.ts'
 import type { JobStage, PieceResult, PreparationJob } from './preparationJob.ts'
 
-/** Where the pieces of a stage are best made: near the request's target, near the job's other pieces, or anywhere. */
-export type StagePlace = 'target' | 'chain' | 'any'
+/** The preferred hall for the pieces of a stage: that of the request's target, that of the job's chain of stages, or any. */
+export type StagePlacement = 'target' | 'chain' | 'any'
 
-/** Moving this much to another hall for one piece is worth waiting for an upstream nearby. */
+/** From this size on, waiting for an upstream in the same hall is cheaper than moving the data of a piece to another hall. */
 const LARGE_BYTES = 200_000
 
 export class JobState {
@@ -19,44 +19,44 @@
   readonly goalAt: number
   readonly deadlineAt: number
   readonly pieces: readonly (readonly PieceState[])[]
-  /** Stages between this one and the request, this one included. */
+  /** By stage, the number of stages on the longest path from it to the request, itself included. */
   readonly heights: readonly number[]
   readonly lastStages: readonly number[]
-  readonly places: readonly StagePlace[]
-  /** As forecast when it was last looked at. */
+  readonly placements: readonly StagePlacement[]
+  /** Whether the latest forecast has the job miss its goal. */
   isLate = false
-  /** All results were made and handed over. */
+  /** All results are computed, and the owner was notified. */
   isHandedOver = false
-  /** The link to its owner broke. */
+  /** The link to the job's owner is down. */
   isDetached = false
-  /** The upstream that should take the request, and its hall; empty when there is none. */
+  /** The upstream that should run the request, and its hall; empty if there is none. */
   targetId = ''
   targetHall = ''
-  /** The upstream that the target should take the beginning of the prompt from; empty when there is none. */
+  /** The upstream that the target should fetch the cached prefix from; empty if there is none. */
   prefixSourceId = ''
-  /** The hall in which the pieces that need each other's results are made. */
+  /** The hall for stages that exchange large results with each other. */
   chainHall = ''
-  /** What the request is expected to take at the target until its first event. */
-  requestMs = 0
-  readonly clock: JobClock
-  private _hasCuts = false
+  /** Expected time from sending the request to its target to its first event. */
+  expectedRequestMs = 0
+  readonly timer: JobClock
+  private _hasCrashSuspects = false
   private readonly _stages: readonly StagePieces[]
   private readonly _readyAt = new Map<number, number>()
 
   constructor (job: PreparationJob, now: number) {
     this.job = job
     this.arrivedAt = now
-    this.clock = new JobClock(now)
+    this.timer = new JobClock(now)
     this.goalAt = now + job.goalInMs
     this.deadlineAt = now + job.deadlineInMs
     this._stages = job.stages.map(stage => new StagePieces(stage.pieceCount))
     this.pieces = this._stages.map(stage => stage.pieces)
     this.heights = computeHeights(job.stages)
     this.lastStages = listLastStages(job.stages)
-    this.places = job.stages.map((_, stage) => this._findPlace(stage))
+    this.placements = job.stages.map((_, stage) => this._choosePlacement(stage))
   }
 
-  /** Every piece that is still needed was made. */
+  /** Whether no piece of the stage is waiting or running. */
   isComplete (stage: number): boolean {
     return this.countOpen(stage) === 0
   }
@@ -65,12 +65,12 @@
     return this.job.stages.every((_, stage) => this.isComplete(stage))
   }
 
-  /** Whether a piece that some of these roles make was not started; it may still lack its inputs. */
+  /** Whether a piece of one of these roles is waiting; its inputs may not be computed yet. */
   hasWaiting (roles: ReadonlyMap<string, unknown>): boolean {
     return this.job.stages.some((stage, index) => roles.has(stage.role) && this.countWaiting(index) > 0)
   }
 
-  /** Stages that may start pieces now: their inputs are there, and nothing further from the request is unfinished. */
+  /** Returns stages with waiting pieces whose inputs are computed, provided that no stage further from the request is unfinished. */
   listReadyStages (): readonly number[] {
     let highest = 0
     this.heights.forEach((height, stage) => { if (height > highest && !this.isComplete(stage)) highest = height })
@@ -79,17 +79,17 @@
     return ready
   }
 
-  /** Handles of the inputs of a stage's pieces, in the order of stages and pieces. */
+  /** Returns the inputs of each piece of a stage, in the order of stages and pieces. */
   listInputs (stage: number): readonly PieceResult[] {
-    return (this.job.stages[stage]?.after ?? []).flatMap(before => this._listResults(before))
+    return (this.job.stages[stage]?.after ?? []).flatMap(inputStage => this._listResults(inputStage))
   }
 
-  /** What the request itself takes. */
+  /** Returns the results that the request itself needs. */
   listFinalResults (): readonly PieceResult[] {
     return this.lastStages.flatMap(stage => this._listResults(stage))
   }
 
-  /** When a stage was first seen ready. */
+  /** Returns when the stage was first ready; records the present time on the first call. */
   getReadyAt (stage: number, now: number): number {
     const known = this._readyAt.get(stage)
     if (known !== undefined) return known
@@ -97,8 +97,11 @@
     return now
   }
 
-  /** The least time until all stages are done: what is open goes into one call for each stage of the longest chain. */
-  estimateStages (estimateCallMs: (role: string, pieceCount: number) => number): number {
+  /**
+   * Estimates the minimum time until all stages are done: one call for the waiting pieces of each stage, where stages of the
+   * same height run in parallel. A running call is assumed to be half done.
+   */
+  estimateStagesMs (estimateCallMs: (role: string, pieceCount: number) => number): number {
     const byHeight = new Map<number, number>()
     this.job.stages.forEach((stage, index) => {
       const waiting = this.countWaiting(index)
@@ -116,34 +119,33 @@
     return this._count(stage, 'waiting')
   }
 
-  /** Its pieces should be made. */
-  get isWanted (): boolean {
+  /** Whether further pieces of the job should run. */
+  get isActive (): boolean {
     return !this.isHandedOver && !this.isDetached
   }
 
-  /** A call with a piece of the job has not ended. */
   get isRunning (): boolean {
     return this._stages.some(stage => stage.count('running') > 0)
   }
 
-  /** A call with the piece was cut off. */
-  noteCut (piece: PieceState): void {
-    piece.cuts++
-    this._hasCuts = true
+  /** Records that the upstream may have crashed during a call with the piece. */
+  recordPossibleCrash (piece: PieceState): void {
+    piece.possibleCrashes++
+    this._hasCrashSuspects = true
   }
 
-  /** A piece whose earlier calls were cut off is being made. */
-  get isMakingCut (): boolean {
-    return this._hasCuts && this.pieces.some(stage => stage.some(piece => piece.cuts > 0 && piece.status === 'running'))
+  /** Whether a piece is running that may have crashed an upstream before. */
+  get isRunningCrashSuspect (): boolean {
+    return this._hasCrashSuspects && this.pieces.some(stage => stage.some(piece => piece.possibleCrashes > 0 && piece.status === 'running'))
   }
 
-  /** Pieces that wait or run. */
+  /** Counts the pieces that are waiting or running. */
   countOpen (stage: number): number {
     return this._stages[stage]?.openCount ?? 0
   }
 
-  /** Whether work was done for the job. */
-  get hasBegun (): boolean {
+  /** Whether any piece of the job has started. */
+  get isStarted (): boolean {
     return this._stages.some(stage => stage.hasStarted)
   }
 
@@ -151,8 +153,8 @@
     return this._stages[stage]?.hasStarted ?? false
   }
 
-  /** Stages whose results no unfinished stage needs any more and that the request does not take either. */
-  listUsedUpStages (): readonly number[] {
+  /** Returns complete stages whose results neither an unfinished stage nor the request needs. */
+  listConsumedStages (): readonly number[] {
     return this.job.stages.flatMap((_, stage) => {
       if (this.lastStages.includes(stage)) return []
       const isNeeded = this.job.stages.some((other, index) => other.after.includes(stage) && !this.isComplete(index))
@@ -160,33 +162,33 @@
     })
   }
 
-  /** Makes a piece wait again, and with it the inputs that were given back since. */
+  /** Returns a piece to waiting, along with those of its inputs that were freed. */
   reopen (stage: number, piece: PieceState): void {
     piece.status = 'waiting'
     piece.result = undefined
-    for (const before of this.job.stages[stage]?.after ?? []) {
-      for (const input of this._getPieces(before)) if (input.status === 'freed') this.reopen(before, input)
+    for (const inputStage of this.job.stages[stage]?.after ?? []) {
+      for (const input of this._getPieces(inputStage)) if (input.status === 'freed') this.reopen(inputStage, input)
     }
   }
 
-  /** The hall that a stage's pieces should be made in; empty when any will do. */
-  getHall (stage: number): string {
-    const place = this.places[stage]
-    return place === 'target' ? this.targetHall : place === 'chain' ? this.chainHall : ''
+  /** Returns the hall that should run the pieces of a stage; empty for any. */
+  getPreferredHall (stage: number): string {
+    const placement = this.placements[stage]
+    return placement === 'target' ? this.targetHall : placement === 'chain' ? this.chainHall : ''
   }
 
-  /** Every piece of a later stage fetches every result of an earlier one, so small results can be much to move. */
-  private _findPlace (stage: number): StagePlace {
+  /** Each piece of a stage fetches all results of its input stages, so that many small results can add up to a large transfer. */
+  private _choosePlacement (stage: number): StagePlacement {
     const spec = this.job.stages[stage]
     if (spec === undefined || spec.pieceCount === 0) return 'any'
     if (this.lastStages.includes(stage) && spec.resultBytes >= LARGE_BYTES) return 'target'
-    const fetches = this.job.stages.reduce((sum, other) => sum + (other.after.includes(stage) ? other.pieceCount : 0), 0)
-    const inputBytes = spec.after.reduce((sum, before) => sum + (this.job.stages[before]?.pieceCount ?? 0) * (this.job.stages[before]?.resultBytes ?? 0), 0)
-    return spec.resultBytes * fetches >= LARGE_BYTES || inputBytes >= LARGE_BYTES ? 'chain' : 'any'
+    const fetchCount = this.job.stages.reduce((sum, other) => sum + (other.after.includes(stage) ? other.pieceCount : 0), 0)
+    const inputBytes = spec.after.reduce((sum, inputStage) => sum + (this.job.stages[inputStage]?.pieceCount ?? 0) * (this.job.stages[inputStage]?.resultBytes ?? 0), 0)
+    return spec.resultBytes * fetchCount >= LARGE_BYTES || inputBytes >= LARGE_BYTES ? 'chain' : 'any'
   }
 
   private _hasInputs (stage: number): boolean {
-    return (this.job.stages[stage]?.after ?? []).every(before => this._count(before, 'made') === this._getPieces(before).length)
+    return (this.job.stages[stage]?.after ?? []).every(inputStage => this._count(inputStage, 'made') === this._getPieces(inputStage).length)
   }
 
   private _count (stage: number, status: PieceStatus): number {
--- a/src/services/preparation/common/jobTargets.ts
+++ b/src/services/preparation/common/jobTargets.ts
@@ -1,5 +1,5 @@
 /**
- * Which upstream takes the request of each job, and how long jobs wait for one that accepts it.
+ * Chooses the target upstream for the request of each job, and estimates the wait for rate limited targets.
  */
 import type { HallLoads } from './hallLoads.ts'
 import type { JobForecast } from './jobForecast.ts'
@@ -11,15 +11,15 @@
 import type { TargetCandidate } from './targetPlanner.ts'
 
 export interface JobTargetsOptions {
-  /** Upstreams that requests themselves go to, by role. */
+  /** Returns the upstreams of a role that run requests. */
   readonly listTargets: (role: string) => readonly TargetCandidate[]
-  /** Whether an upstream of the role accepts any number of requests, also where this plan does not send them. */
+  /** Whether an upstream of the role has no rate limit, including upstreams that this plan does not use. */
   readonly hasOpenTarget: (role: string, homeHalls: readonly string[] | undefined) => boolean
   readonly halls: HallLoads
   readonly upstreams: ReadonlyMap<string, PieceUpstream>
 }
 
-const NO_WAIT: ReadonlyMap<string, number> = new Map()
+const NO_WAITS: ReadonlyMap<string, number> = new Map()
 
 export class JobTargets {
   readonly planner = new TargetPlanner()
@@ -29,48 +29,48 @@
     this._options = options
   }
 
-  /** Chosen when a job comes, so that large results are made near the target, and again when they are there. */
+  /** Chooses the target when a job arrives, so that large results are computed in its hall, and again once they are complete. */
   choose (state: JobState, now: number): void {
     const { halls, upstreams } = this._options
     const { id, request } = state.job
     const choice = this.planner.choose({
       shape: request,
-      candidates: this._list(state),
+      candidates: this._listCandidates(state),
       bytesByHall: sumBytesByHall(state, id => upstreams.get(id)?.hall),
-      waitByHall: state.isHandedOver ? NO_WAIT : halls.computeWaits(state, 'target', now)
+      waitByHall: state.isHandedOver ? NO_WAITS : halls.computeWaits(state, 'target', now)
     }, now)
-    state.requestMs = choice?.costMs ?? 0
+    state.expectedRequestMs = choice?.costMs ?? 0
     state.targetId = choice?.id ?? ''
     state.prefixSourceId = choice?.prefixSourceId ?? ''
     state.targetHall = choice?.hall ?? ''
     if (choice !== undefined && state.isHandedOver) this.planner.assign({ jobId: id, shape: request, targetId: choice.id, readTokens: choice.readTokens }, now)
   }
 
-  /** A request whose upstreams all accept few waits for them as well, behind those that came before it. */
-  addWait (forecast: JobForecast, jobs: Iterable<JobState>, now: number): JobForecast {
+  /** Adds the wait for a target if all targets are rate limited, behind the jobs that arrived earlier. */
+  addTargetWait (forecast: JobForecast, jobs: Iterable<JobState>, now: number): JobForecast {
     const { state } = forecast
-    if (this._hasOpen(state)) return forecast
+    if (this._hasUnlimitedTarget(state)) return forecast
     const { role } = state.job.request
     const ahead = [...jobs].filter(other => !other.isHandedOver && other.job.request.role === role).length
-    const endAt = Math.max(forecast.endAt, now + this.planner.estimateWaitMs(this._list(state), ahead, now) + state.requestMs)
+    const endAt = Math.max(forecast.endAt, now + this.planner.estimateWaitMs(this._listCandidates(state), ahead, now) + state.expectedRequestMs)
     return { ...forecast, endAt, isLate: forecast.isLate || endAt > state.goalAt }
   }
 
-  /** Whether the request has to wait until one of its upstreams accepts it, behind others that wait. */
+  /** Whether the request has to wait for a rate limited target, behind the others that wait. */
   isBlocked (state: JobState, othersWaiting: number, now: number): boolean {
-    return hasPieces(state.job) && !this._hasOpen(state) && this.estimateWaitMs(state, othersWaiting, now) > 0
+    return hasPieces(state.job) && !this._hasUnlimitedTarget(state) && this.estimateWaitMs(state, othersWaiting, now) > 0
   }
 
-  /** Until an upstream accepts the request, behind so many others, in milliseconds. */
+  /** Estimates the time until a target accepts the request, with `ahead` others queued before it. */
   estimateWaitMs (state: JobState, ahead: number, now: number): number {
-    return this.planner.estimateWaitMs(this._list(state), ahead, now)
+    return this.planner.estimateWaitMs(this._listCandidates(state), ahead, now)
   }
 
-  private _hasOpen ({ job }: JobState): boolean {
+  private _hasUnlimitedTarget ({ job }: JobState): boolean {
     return this._options.hasOpenTarget(job.request.role, job.homeHalls)
   }
 
-  private _list ({ job }: JobState): readonly TargetCandidate[] {
+  private _listCandidates ({ job }: JobState): readonly TargetCandidate[] {
     const targets = this._options.listTargets(job.request.role)
     const excluded = job.excludedTargets
     return excluded === undefined ? targets : targets.filter(({ id }) => !excluded.includes(id))
--- a/src/services/preparation/common/jobTimes.ts
+++ b/src/services/preparation/common/jobTimes.ts
@@ -1,38 +1,38 @@
 /**
- * How the time of a job was spent at its coordinator, for logs: a late request is explained by what it waited for.
+ * Breaks down the time of a job at its coordinator, to explain late requests in the logs.
  */
 
-/** All in milliseconds; together they are the time from the job's arrival to its last result. */
+/** The sum is the time from the job's arrival to its last result. */
 export interface JobTimes {
   /** Until the first piece started. */
   readonly queuedMs: number
-  /** While at least one piece was being made. */
+  /** While at least one piece was running. */
   readonly madeMs: number
-  /** Between stages: results were there, and nothing was being made. */
+  /** Between stages: no piece was running after the first one had started. */
   readonly betweenMs: number
 }
 
-/** Follows one job from its arrival. */
+/** Measures one job from its arrival. */
 export class JobClock {
   private _startedAt: number | undefined
   private _runningPieces = 0
-  private _busySince = 0
-  private _madeMs = 0
+  private _runningSince = 0
+  private _runningMs = 0
 
   constructor (private readonly _arrivedAt: number) {}
 
   recordStart (now: number): void {
     this._startedAt ??= now
-    if (this._runningPieces++ === 0) this._busySince = now
+    if (this._runningPieces++ === 0) this._runningSince = now
   }
 
   recordEnd (now: number): void {
-    if (--this._runningPieces === 0) this._madeMs += now - this._busySince
+    if (--this._runningPieces === 0) this._runningMs += now - this._runningSince
   }
 
   measure (now: number): JobTimes {
     const startedAt = this._startedAt ?? now
-    const madeMs = this._madeMs + (this._runningPieces > 0 ? now - this._busySince : 0)
+    const madeMs = this._runningMs + (this._runningPieces > 0 ? now - this._runningSince : 0)
     return { queuedMs: startedAt - this._arrivedAt, madeMs, betweenMs: now - startedAt - madeMs }
   }
 }
--- a/src/services/preparation/common/pendingFrees.ts
+++ b/src/services/preparation/common/pendingFrees.ts
@@ -1,10 +1,9 @@
 /**
- * Results that nobody needs any more, until they are given back at the upstreams that made them.
+ * Results that are no longer needed, until they are freed at the upstreams that hold them.
  */
 import type { PlannedFree } from './plannedCall.ts'
 import type { PieceResult } from './preparationJob.ts'
 
-/** Results of one upstream. */
 class UpstreamFrees {
   readonly handles: string[] = []
   bytes = 0
@@ -24,13 +23,12 @@
     frees.bytes += bytes
   }
 
-  /** The upstream is gone, and its results with it. */
-  drop (upstreamId: string): void {
+  discard (upstreamId: string): void {
     this._byUpstream.delete(upstreamId)
   }
 
-  /** All that is to be given back since the last time. */
-  take (): readonly PlannedFree[] {
+  /** Returns all pending results by upstream, and clears them. */
+  dequeueAll (): readonly PlannedFree[] {
     const frees = [...this._byUpstream].map(([upstreamId, { handles, bytes }]) => ({ upstreamId, handles, bytes }))
     this._byUpstream.clear()
     return frees
--- a/src/services/preparation/common/pieceProtocol.ts
+++ b/src/services/preparation/common/pieceProtocol.ts
@@ -1,5 +1,5 @@
 /**
- * The port to upstreams that make pieces.
+ * Interface to upstreams that run pieces.
  */
 import { Emitter } from '../../../base/common/event.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
@@ -8,7 +8,7 @@
 
 export interface PieceCallTerms {
   readonly timeoutMs: number
-  /** The connection is open, and the call is written now; false withholds it. */
+  /** Called when the connection is open, just before the call is written; returning false withholds the call. */
   readonly onWillSend?: () => boolean
 }
 
@@ -16,11 +16,11 @@
 
 export abstract class PieceProtocol {
   protected readonly _onDidState = new Emitter<StatedByUpstream>()
-  /** What upstreams say of themselves with their answers. */
+  /** Fires for statements about its own state that an upstream sends with an answer. */
   readonly onDidState = this._onDidState.event
 
-  /** Asks for pieces in one call; never rejects. */
+  /** Runs pieces in one call. Never rejects. */
   abstract runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallTerms): Promise<PieceCallOutcome>
-  /** Gives results back; false when the upstream did not confirm it. */
+  /** Frees results; resolves to false if the upstream did not confirm it. */
   abstract freeResults (upstream: UpstreamEntry, handles: readonly string[], terms?: FreeTerms): Promise<boolean>
 }
--- a/src/services/preparation/common/pieceState.ts
+++ b/src/services/preparation/common/pieceState.ts
@@ -1,14 +1,14 @@
 /**
- * The pieces of one stage of a job. How many are in each state is kept as they change: the order and the forecast of all
- * jobs ask for it at every arrival and every call.
+ * State of the pieces of one stage of a job. Counts by status are maintained incrementally, since scheduling reads them for
+ * all jobs on every arrival and every call.
  */
 import { MAX_ENDS } from '../../quarantine/common/crashEvidence.ts'
 import type { PieceResult } from './preparationJob.ts'
 
-/** A piece that failed so often does not fail by chance, and each further try holds up its job. */
+/** With more failures than this, the cause is unlikely to be transient, and each further attempt delays the job. */
 const MAX_FAILURES = 4
-/** As many as a request may end before it is no longer sent. */
-const MAX_CUTS = MAX_ENDS
+/** The same limit as for crashes by a request before it is quarantined. */
+const MAX_POSSIBLE_CRASHES = MAX_ENDS
 
 export type PieceStatus = 'waiting' | 'running' | 'made' | 'freed'
 
@@ -16,16 +16,16 @@
 
 export class PieceState {
   result: PieceResult | undefined
-  madeAt = 0
+  computedAt = 0
   failures = 0
-  /** Calls with it that were cut off. */
-  cuts = 0
+  /** Number of calls with the piece during which the upstream may have crashed. */
+  possibleCrashes = 0
   private _status: PieceStatus = 'waiting'
 
   constructor (private readonly _counts: StatusCounts) {}
 
-  get hasFailedForGood (): boolean {
-    return this.failures > MAX_FAILURES || this.cuts >= MAX_CUTS
+  get hasFailedPermanently (): boolean {
+    return this.failures > MAX_FAILURES || this.possibleCrashes >= MAX_POSSIBLE_CRASHES
   }
 
   get status (): PieceStatus {
@@ -53,12 +53,12 @@
     return this._counts[status]
   }
 
-  /** Pieces that wait or run. */
+  /** Number of pieces that are waiting or running. */
   get openCount (): number {
     return this._counts.waiting + this._counts.running
   }
 
-  /** Whether work was done for the stage. */
+  /** Whether any piece has left the waiting status. */
   get hasStarted (): boolean {
     return this._counts.waiting < this.pieces.length
   }
--- a/src/services/preparation/common/pieceUpstream.ts
+++ b/src/services/preparation/common/pieceUpstream.ts
@@ -1,8 +1,9 @@
 /**
- * An upstream that makes pieces, as the planner sees it: its calls, the room that results take there, and how it does.
+ * The planner's state of an upstream that runs pieces: its running calls, the room that results occupy, its speed and its
+ * backoffs.
  */
 
-/** What upstreams of a role do, from the configuration. */
+/** Limits and nominal costs of the upstreams of a role, from the configuration. */
 export interface PieceWorkSpec {
   readonly concurrentCalls: number
   readonly maxPiecesPerCall: number
@@ -19,7 +20,7 @@
   readonly work: PieceWorkSpec
 }
 
-interface HeldRoom {
+interface UnavailableRoom {
   readonly bytes: number
   readonly until: number
 }
@@ -27,28 +28,31 @@
 /** Weight of the newest call in the smoothed slowness. */
 const SLOWNESS_SMOOTHING = 0.4
 const SLOWNESS_HALF_LIFE_MS = 2000
-const FIRST_AVOID_MS = 400
-const MAX_AVOID_MS = 3200
+const INITIAL_BACKOFF_MS = 400
+const MAX_BACKOFF_MS = 3200
 
 export class PieceUpstream {
   readonly id: string
   readonly role: string
   readonly hall: string
   work: PieceWorkSpec
-  /** Whether new calls may go there; results that lie there can be fetched all the same. */
-  takesWork = true
+  /** Whether it accepts new calls; results that it holds can be fetched in either case. */
+  acceptsWork = true
   runningCalls = 0
-  /** A call runs that may be what ends upstreams: whatever ran beside it would be lost, and be suspected as well. */
+  /**
+   * Whether a call is running that may crash the upstream. No other call starts until it ends: that would be lost in the
+   * crash too, and its pieces would become suspects.
+   */
   hasSuspectCall = false
   private _slowness = 1
   private _measuredAt = 0
   private _usedBytes = 0
-  /** Results that may lie there and cannot be freed: they go when their lifetime ends. */
-  private _strayed: readonly HeldRoom[] = []
-  private _avoidUntil = 0
-  private _avoidMs = FIRST_AVOID_MS
-  private _limitedUntil = 0
-  private _backoffUntil = 0
+  /** Room of results that the upstream may hold but that cannot be freed; it becomes free at the end of their lifetime. */
+  private _unavailableRoom: readonly UnavailableRoom[] = []
+  private _failureBackoffUntil = 0
+  private _failureBackoffMs = INITIAL_BACKOFF_MS
+  private _rateLimitedUntil = 0
+  private _requestedBackoffUntil = 0
 
   constructor (options: PieceUpstreamOptions) {
     this.id = options.id
@@ -57,33 +61,32 @@
     this.work = options.work
   }
 
-  /** How long calls take against what the configuration says; what was measured long ago counts less. */
+  /** Ratio of measured to configured call durations; old measurements decay towards 1. */
   getSlowness (now: number): number {
     return 1 + (this._slowness - 1) * 0.5 ** (Math.max(0, now - this._measuredAt) / SLOWNESS_HALF_LIFE_MS)
   }
 
-  /** Whether a call may start now. */
-  canStart (now: number): boolean {
-    return this.takesWork && !this.hasSuspectCall && this.runningCalls < this.work.concurrentCalls && now >= Math.max(this._avoidUntil, this._limitedUntil, this._backoffUntil)
+  canStartCall (now: number): boolean {
+    return this.acceptsWork && !this.hasSuspectCall && this.runningCalls < this.work.concurrentCalls && now >= Math.max(this._failureBackoffUntil, this._rateLimitedUntil, this._requestedBackoffUntil)
   }
 
-  /** Whether it can be counted on for work to come. */
+  /** Whether it counts as capacity in forecasts, even if its calls or its rate limit are used up. */
   isUsable (now: number): boolean {
-    return this.takesWork && now >= Math.max(this._avoidUntil, this._backoffUntil)
+    return this.acceptsWork && now >= Math.max(this._failureBackoffUntil, this._requestedBackoffUntil)
   }
 
-  /** Until the end of a pause that it asked for, in milliseconds. */
-  getBackoffMs (now: number): number {
-    return Math.max(0, this._backoffUntil - now)
+  /** Returns the remaining time of a backoff that the upstream asked for. */
+  getRequestedBackoffMs (now: number): number {
+    return Math.max(0, this._requestedBackoffUntil - now)
   }
 
   getFreeBytes (now: number): number {
-    this._strayed = this._strayed.filter(room => room.until > now)
-    const strayed = this._strayed.reduce((sum, room) => sum + room.bytes, 0)
-    return this.work.resultRoomBytes - this._usedBytes - strayed
+    this._unavailableRoom = this._unavailableRoom.filter(room => room.until > now)
+    const unavailableBytes = this._unavailableRoom.reduce((sum, room) => sum + room.bytes, 0)
+    return this.work.resultRoomBytes - this._usedBytes - unavailableBytes
   }
 
-  holdRoom (bytes: number): void {
+  reserveRoom (bytes: number): void {
     this._usedBytes += bytes
   }
 
@@ -91,53 +94,53 @@
     this._usedBytes = Math.max(0, this._usedBytes - bytes)
   }
 
-  /** What was held may still be there, but nobody can free it. */
-  loseRoom (bytes: number, now: number): void {
+  /** Keeps room in use until the lifetime of its results ends, since they may still be stored but cannot be freed. */
+  retainRoom (bytes: number, now: number): void {
     this.releaseRoom(bytes)
-    this._strayed = [...this._strayed, { bytes, until: now + this.work.resultLifetimeMs }]
+    this._unavailableRoom = [...this._unavailableRoom, { bytes, until: now + this.work.resultLifetimeMs }]
   }
 
-  /** The upstream says that it has no room, whatever was counted here. */
-  noteFull (now: number): void {
+  /** Regards the free room as used for a short time, since the upstream reported that it has none. */
+  recordFull (now: number): void {
     const free = this.getFreeBytes(now)
-    if (free > 0) this._strayed = [...this._strayed, { bytes: free, until: now + FIRST_AVOID_MS }]
+    if (free > 0) this._unavailableRoom = [...this._unavailableRoom, { bytes: free, until: now + INITIAL_BACKOFF_MS }]
   }
 
-  /** It accepts no call for a while, and is as good as before after that. */
-  noteLimited (now: number, forMs: number): void {
-    this._limitedUntil = Math.max(this._limitedUntil, now + forMs)
+  /** Starts no call for a while because of a rate limit; the upstream still counts as usable. */
+  recordRateLimit (now: number, forMs: number): void {
+    this._rateLimitedUntil = Math.max(this._rateLimitedUntil, now + forMs)
   }
 
-  /** It wants nothing for a while, so nobody can count on it until then. */
-  noteBackoff (now: number, forMs: number): void {
-    this._backoffUntil = Math.max(this._backoffUntil, now + forMs)
+  /** Records a backoff that the upstream asked for; it is not usable until that ends. */
+  recordRequestedBackoff (now: number, forMs: number): void {
+    this._requestedBackoffUntil = Math.max(this._requestedBackoffUntil, now + forMs)
   }
 
   recordCall (tookMs: number, expectedMs: number, now: number): void {
-    const held = this.getSlowness(now)
-    this._slowness = held + SLOWNESS_SMOOTHING * (tookMs / Math.max(1, expectedMs) - held)
+    const previous = this.getSlowness(now)
+    this._slowness = previous + SLOWNESS_SMOOTHING * (tookMs / Math.max(1, expectedMs) - previous)
     this._measuredAt = now
-    this._avoidMs = FIRST_AVOID_MS
+    this._failureBackoffMs = INITIAL_BACKOFF_MS
   }
 
-  /** Leaves the upstream alone for a while, longer each time until a call succeeds. */
-  avoid (now: number): void {
-    this._avoidUntil = now + this._avoidMs
-    this._avoidMs = Math.min(MAX_AVOID_MS, this._avoidMs * 2)
+  /** Backs off after a failed call; the time doubles with each failure until a call succeeds. */
+  applyFailureBackoff (now: number): void {
+    this._failureBackoffUntil = now + this._failureBackoffMs
+    this._failureBackoffMs = Math.min(MAX_BACKOFF_MS, this._failureBackoffMs * 2)
   }
 
-  /** Leaves it alone for a moment: it has enough to do. */
-  avoidBriefly (now: number, forMs: number): void {
-    this._avoidUntil = Math.max(this._avoidUntil, now + forMs)
+  /** Backs off briefly, without increasing later backoffs: the upstream is busy, but has not failed. */
+  applyBriefBackoff (now: number, forMs: number): void {
+    this._failureBackoffUntil = Math.max(this._failureBackoffUntil, now + forMs)
   }
 }
 
-/** How long a call with so many pieces should take. */
+/** Returns the nominal duration of a call with so many pieces. */
 export function computeCallMs (work: PieceWorkSpec, pieceCount: number): number {
   return work.callMs + work.pieceMs * pieceCount
 }
 
-/** What a piece costs in full calls. */
+/** Returns the nominal duration per piece when calls are full. */
 export function computePieceCost (work: PieceWorkSpec): number {
   return work.callMs / work.maxPiecesPerCall + work.pieceMs
 }
--- a/src/services/preparation/common/pieceUpstreams.ts
+++ b/src/services/preparation/common/pieceUpstreams.ts
@@ -1,12 +1,12 @@
 /**
- * All upstreams that make pieces for one plan, and what can be asked of them together.
+ * The upstreams that run the pieces of one plan, and aggregates over them.
  */
 import type { RoleCapacity } from './jobForecast.ts'
 import { RoleRate } from './roleRate.ts'
 import { computeCallMs, computePieceCost } from './pieceUpstream.ts'
 import type { PieceUpstream } from './pieceUpstream.ts'
 
-/** An upstream this much slower than the configuration says is used only when no other can be. */
+/** Slowness above which an upstream is used only if the others would take longer. */
 const MAX_SLOWNESS = 2.5
 
 export class PieceUpstreams {
@@ -14,7 +14,7 @@
 
   constructor (private readonly _byId: ReadonlyMap<string, PieceUpstream>) {}
 
-  /** What is observed of a role. */
+  /** Returns the observed rates of a role. */
   getRate (role: string): RoleRate {
     let rate = this._rates.get(role)
     if (rate === undefined) {
@@ -24,8 +24,8 @@
     return rate
   }
 
-  /** Whether the upstream lies in a hall, or no usable upstream of its role does; an empty hall stands for any. */
-  isNear (upstream: PieceUpstream, hall: string, now: number): boolean {
+  /** Whether the upstream is in the hall, or no usable upstream of its role is that runs at normal speed; an empty hall means any. */
+  isEligibleForHall (upstream: PieceUpstream, hall: string, now: number): boolean {
     if (hall === '' || hall === upstream.hall) return true
     for (const other of this._byId.values()) {
       if (other.role === upstream.role && other.hall === hall && other.isUsable(now) && other.getSlowness(now) <= MAX_SLOWNESS) return false
@@ -33,27 +33,27 @@
     return true
   }
 
-  /** Upstreams that can take a call now, by role, the fastest first. */
-  groupIdle (now: number): ReadonlyMap<string, readonly PieceUpstream[]> {
+  /** Returns the upstreams that can start a call now, by role, the fastest first. */
+  groupAvailable (now: number): ReadonlyMap<string, readonly PieceUpstream[]> {
     const groups = new Map<string, PieceUpstream[]>()
     for (const upstream of this._byId.values()) {
-      if (upstream.canStart(now)) groups.set(upstream.role, [...groups.get(upstream.role) ?? [], upstream])
+      if (upstream.canStartCall(now)) groups.set(upstream.role, [...groups.get(upstream.role) ?? [], upstream])
     }
     for (const group of groups.values()) group.sort((a, b) => a.getSlowness(now) - b.getSlowness(now) || b.getFreeBytes(now) - a.getFreeBytes(now))
     return groups
   }
 
-  /** A slow upstream is worth its while only when the others would need longer for what waits. */
+  /** Whether to use the upstream: a slow one is used only if the others would take longer to work off the waiting pieces. */
   isWorthwhile (upstream: PieceUpstream, waiting: number, now: number): boolean {
     const slowness = upstream.getSlowness(now)
     if (slowness <= MAX_SLOWNESS) return true
     const { work } = upstream
-    let usualCalls = 0
+    let normalSpeedCalls = 0
     for (const other of this._byId.values()) {
-      if (other.role === upstream.role && other.isUsable(now) && other.getSlowness(now) <= MAX_SLOWNESS) usualCalls += other.work.concurrentCalls
+      if (other.role === upstream.role && other.isUsable(now) && other.getSlowness(now) <= MAX_SLOWNESS) normalSpeedCalls += other.work.concurrentCalls
     }
-    if (usualCalls === 0) return true
-    const waitMs = waiting * computePieceCost(work) / usualCalls
+    if (normalSpeedCalls === 0) return true
+    const waitMs = waiting * computePieceCost(work) / normalSpeedCalls
     return waitMs + computeCallMs(work, 1) > slowness * computeCallMs(work, Math.min(waiting, work.maxPiecesPerCall))
   }
 
@@ -68,10 +68,10 @@
   computeCapacities (now: number): ReadonlyMap<string, RoleCapacity> {
     const sums = new Map<string, Pick<RoleCapacity, 'work' | 'calls' | 'backoffMs'>>()
     for (const upstream of this._byId.values()) {
-      const held = sums.get(upstream.role) ?? { calls: 0, backoffMs: Infinity }
+      const total = sums.get(upstream.role) ?? { calls: 0, backoffMs: Infinity }
       const calls = upstream.isUsable(now) ? upstream.work.concurrentCalls / Math.max(1, upstream.getSlowness(now)) : 0
-      const backoffMs = upstream.takesWork ? upstream.getBackoffMs(now) : Infinity
-      sums.set(upstream.role, { work: upstream.work, calls: held.calls + calls, backoffMs: Math.min(held.backoffMs, backoffMs) })
+      const backoffMs = upstream.acceptsWork ? upstream.getRequestedBackoffMs(now) : Infinity
+      sums.set(upstream.role, { work: upstream.work, calls: total.calls + calls, backoffMs: Math.min(total.backoffMs, backoffMs) })
     }
     return new Map([...sums].map(([role, { work, calls, backoffMs }]) => {
       const rate = this.getRate(role)
--- a/src/services/preparation/common/planLoad.ts
+++ b/src/services/preparation/common/planLoad.ts
@@ -1,6 +1,6 @@
 /**
- * How much waits at one plan, by role: two plans of the same moment, put side by side, tell whether work waits in one
- * while upstreams of another have nothing to do.
+ * Load of one plan, by role. Comparing the loads of two plans at the same time shows whether work is queued in one while
+ * upstreams of the other are idle.
  */
 import type { RoleCapacity } from './jobForecast.ts'
 import type { JobState } from './jobState.ts'
@@ -8,31 +8,31 @@
 
 export interface RoleLoad {
   readonly role: string
-  /** Calls that its usable upstreams make at once, slow ones counted by what they do. */
+  /** Concurrent calls of all usable upstreams; slow upstreams count in proportion to their speed. */
   readonly calls: number
   readonly runningCalls: number
-  /** Pieces that wait, whether or not their inputs are there, or run. */
+  /** Pieces that are waiting, with or without computed inputs, or running. */
   readonly openPieces: number
-  /** How long the open pieces take at the observed rate, in milliseconds. */
+  /** Time to work off the open pieces at the observed throughput. */
   readonly queueMs: number
 }
 
 export interface PlanLoad {
   readonly jobs: number
-  /** Jobs that can only be late, as when they were last forecast. */
+  /** Jobs that miss their goal according to the latest forecast. */
   readonly lateJobs: number
   readonly roles: readonly RoleLoad[]
 }
 
 export function measurePlanLoad (jobs: Iterable<JobState>, upstreams: Iterable<PieceUpstream>, capacities: ReadonlyMap<string, RoleCapacity>): PlanLoad {
-  const wanted = [...jobs].filter(state => state.isWanted)
+  const activeJobs = [...jobs].filter(state => state.isActive)
   const openPieces = new Map<string, number>()
-  for (const state of wanted) state.job.stages.forEach(({ role }, index) => openPieces.set(role, (openPieces.get(role) ?? 0) + state.countOpen(index)))
+  for (const state of activeJobs) state.job.stages.forEach(({ role }, index) => openPieces.set(role, (openPieces.get(role) ?? 0) + state.countOpen(index)))
   const runningCalls = new Map<string, number>()
   for (const upstream of upstreams) runningCalls.set(upstream.role, (runningCalls.get(upstream.role) ?? 0) + upstream.runningCalls)
   const roles = [...capacities].map(([role, { calls, piecesPerMs }]) => {
     const open = openPieces.get(role) ?? 0
     return { role, calls, runningCalls: runningCalls.get(role) ?? 0, openPieces: open, queueMs: open === 0 ? 0 : open / piecesPerMs }
   })
-  return { jobs: wanted.length, lateJobs: wanted.filter(state => state.isLate).length, roles }
+  return { jobs: activeJobs.length, lateJobs: activeJobs.filter(state => state.isLate).length, roles }
 }
--- a/src/services/preparation/common/planSearch.ts
+++ b/src/services/preparation/common/planSearch.ts
@@ -1,70 +1,70 @@
 /**
- * Which plan a job is given to. Plans are asked in the order of the job's prompt, since the first knows best where that
- * was read, and the first that can make the job in time takes it. When none can, it goes where it would be done first.
+ * Chooses the plan for a job. Plans are tried in an order derived from the job's prompt, since the first one most likely
+ * knows which upstreams have it cached. The first plan that can complete the job in time accepts it; if none can, the job
+ * goes to the one with the earliest forecast completion.
  *
- * Load differs between halls for seconds: upstreams crash, and prompts are not drawn evenly.
+ * The load of halls can differ for seconds, because of crashed upstreams and unevenly distributed prompts.
  */
 
-/** A plan, and how the job is put to it. */
 export interface PlanChoice {
-  /** The hall that the plan is for; empty for the plan of all halls. */
+  /** The hall of the plan; empty for a plan of all halls. */
   readonly hall: string
-  /** The plan may decline what would be late there. */
+  /** The plan may decline the job if it would miss its goal there. */
   readonly isOffer: boolean
 }
 
 /**
- * Plans that a job is offered to. Each forecasts all its jobs for the answer, just when there is most to do, so more
- * halls must not cost more.
+ * Maximum number of plans that a job is offered to. Each plan forecasts all its jobs to answer an offer, and most offers
+ * are made under high load, so the cost must not grow with the number of halls.
  */
-const MAX_PLANS = 3
-/** Further plans that are searched for a job which its plan gave up. */
-const MAX_REFUSALS = 1
+const MAX_OFFERS = 3
+/** How often the search starts again after the chosen plan refused the job. */
+const MAX_RETRIES_AFTER_REFUSAL = 1
 
 export class PlanSearch {
-  /** By hall, in how many milliseconds the job would be done there; Infinity where it can't. */
-  private readonly _endInMs = new Map<string, number>()
-  private _refusals = 0
-  private _asked: PlanChoice | undefined
+  /** Forecast completion time by hall, from now; Infinity where the job cannot run. */
+  private readonly _completionMs = new Map<string, number>()
+  private _refusalCount = 0
+  private _current: PlanChoice | undefined
 
   get asked (): PlanChoice | undefined {
-    return this._asked
+    return this._current
   }
 
-  /** The next plan to ask. One that has made something for the job keeps it: its results lie in that hall. */
-  choose (plans: readonly string[], hasResults: boolean): PlanChoice {
-    const held = this._asked?.hall
-    if (held !== undefined && hasResults && plans.includes(held)) return this._ask(held, false)
-    const [only = ''] = plans
-    if (plans.length < 2) return this._ask(only, false)
-    const first = plans.slice(0, MAX_PLANS)
-    const unasked = first.find(hall => !this._endInMs.has(hall))
-    return unasked === undefined ? this._ask(this._findSoonest(first), false) : this._ask(unasked, true)
+  /** Returns the next plan to try. A plan that has computed results for the job keeps it, since its hall holds them. */
+  choose (plans: readonly string[], hasComputedResults: boolean): PlanChoice {
+    const currentHall = this._current?.hall
+    if (currentHall !== undefined && hasComputedResults && plans.includes(currentHall)) return this._setCurrent(currentHall, false)
+    const [firstHall = ''] = plans
+    if (plans.length < 2) return this._setCurrent(firstHall, false)
+    const candidates = plans.slice(0, MAX_OFFERS)
+    const nextHall = candidates.find(hall => !this._completionMs.has(hall))
+    return nextHall === undefined ? this._setCurrent(this._findEarliest(candidates), false) : this._setCurrent(nextHall, true)
   }
 
-  /** The plan that was asked does not take the job, which would be done there in so many milliseconds. */
+  /** Records that the chosen plan declined the job, and its forecast completion time. */
   noteDeclined (endInMs: number): void {
-    if (this._asked !== undefined) this._endInMs.set(this._asked.hall, endInMs)
+    if (this._current !== undefined) this._completionMs.set(this._current.hall, endInMs)
   }
 
-  /** The plan that was asked has given the job up; false when the caller should be told so. */
+  /** Records that the chosen plan refused the job. Returns whether to search again; otherwise the refusal is final. */
   noteRefused (plans: readonly string[]): boolean {
-    const held = this._asked?.hall
-    if (held === undefined || this._refusals >= MAX_REFUSALS || plans.every(hall => hall === held)) return false
-    this._refusals++
-    // What the others said is as old as the wait in this one.
-    this._endInMs.clear()
-    this._endInMs.set(held, Infinity)
+    const refusingHall = this._current?.hall
+    if (refusingHall === undefined || this._refusalCount >= MAX_RETRIES_AFTER_REFUSAL || plans.every(hall => hall === refusingHall)) return false
+    this._refusalCount++
+    // The forecasts of the other plans are outdated by the time that the job spent in this one.
+    this._completionMs.clear()
+    this._completionMs.set(refusingHall, Infinity)
     return true
   }
 
-  private _ask (hall: string, isOffer: boolean): PlanChoice {
-    this._asked = { hall, isOffer }
-    return this._asked
+  private _setCurrent (hall: string, isOffer: boolean): PlanChoice {
+    this._current = { hall, isOffer }
+    return this._current
   }
 
-  private _findSoonest (plans: readonly string[]): string {
-    const endInMs = (hall: string) => this._endInMs.get(hall) ?? Infinity
+  private _findEarliest (plans: readonly string[]): string {
+    const endInMs = (hall: string) => this._completionMs.get(hall) ?? Infinity
     return plans.reduce((best, hall) => endInMs(hall) < endInMs(best) ? hall : best)
   }
 }
--- a/src/services/preparation/common/prefixBook.ts
+++ b/src/services/preparation/common/prefixBook.ts
@@ -1,94 +1,92 @@
 /**
- * Which upstreams have read which shared beginnings of prompts. Beginnings nest: two prompts that differ in their second
- * shared part may still have the first one in common.
+ * Tracks which upstreams are likely to have which prompt prefixes in their prefix cache. Prefixes nest: two prompts that
+ * differ in their second shared part may still have the first one in common.
  */
 
-/** A beginning that other prompts have as well. */
+/** A prefix that several prompts have in common. */
 export interface SharedPrefix {
-  /** Tells it apart from other beginnings. */
   readonly key: string
-  /** Tokens from the start of the prompt to the end of this beginning. */
+  /** Tokens from the start of the prompt to the end of the prefix. */
   readonly tokens: number
 }
 
-/** What one upstream was sent, for another book. */
+/** Prefixes that were sent to an upstream, in the form that is exchanged between nodes. */
 export interface PrefixNote {
   readonly shared: readonly SharedPrefix[]
   readonly targetId: string
   readonly ageMs: number
 }
 
-/** An upstream and the tokens that it keeps of a prompt. */
-export interface PrefixKeeper {
+/** An upstream and the number of tokens of a prompt in its cache. */
+export interface PrefixHolder {
   readonly id: string
   readonly tokens: number
 }
 
-interface HeldNote {
+interface IndexedPrefix {
   readonly shared: readonly SharedPrefix[]
-  readonly readAt: Map<string, number>
+  readonly lastSentAt: Map<string, number>
 }
 
-/** What was read so long ago and not used since has probably given way. */
-const KEPT_MS = 60_000
+/** A prefix that was not used for this long has probably been evicted by the upstream. */
+const RETENTION_MS = 60_000
 const MAX_PREFIXES = 5000
 
 export class PrefixBook {
-  /** By key, the one unused for longest first. */
-  private readonly _notes = new Map<string, HeldNote>()
+  /** By key, the least recently used first. */
+  private readonly _prefixes = new Map<string, IndexedPrefix>()
 
-  /** An upstream was sent a prompt with these beginnings, the shortest first. */
+  /** Records that a prompt with these prefixes, the shortest first, was sent to an upstream. */
   add (shared: readonly SharedPrefix[], targetId: string, now: number): void {
     shared.forEach(({ key }, index) => {
-      const held = this._notes.get(key) ?? { shared: shared.slice(0, index + 1), readAt: new Map<string, number>() }
-      this._notes.delete(key)
-      this._notes.set(key, held)
-      held.readAt.set(targetId, Math.max(now, held.readAt.get(targetId) ?? -Infinity))
+      const indexed = this._prefixes.get(key) ?? { shared: shared.slice(0, index + 1), lastSentAt: new Map<string, number>() }
+      this._prefixes.delete(key)
+      this._prefixes.set(key, indexed)
+      indexed.lastSentAt.set(targetId, Math.max(now, indexed.lastSentAt.get(targetId) ?? -Infinity))
     })
-    while (this._notes.size > MAX_PREFIXES) this._dropOldest()
+    while (this._prefixes.size > MAX_PREFIXES) this._evictOldest()
   }
 
-  /** Tokens of the longest beginning that the upstream still keeps. */
+  /** Returns the tokens of the longest prefix that the upstream most likely still has cached. */
   countKept (shared: readonly SharedPrefix[], targetId: string, now: number): number {
-    return this._countLongest(shared, key => now - (this._notes.get(key)?.readAt.get(targetId) ?? -Infinity) < KEPT_MS)
+    return this._countLongest(shared, key => now - (this._prefixes.get(key)?.lastSentAt.get(targetId) ?? -Infinity) < RETENTION_MS)
   }
 
-  /** The other upstream that keeps most, of those that may be asked. */
-  findKeeper (shared: readonly SharedPrefix[], candidateIds: ReadonlySet<string>, now: number): PrefixKeeper | undefined {
+  /** Returns a candidate with the longest cached prefix. */
+  findHolder (shared: readonly SharedPrefix[], candidateIds: ReadonlySet<string>, now: number): PrefixHolder | undefined {
     for (let index = shared.length - 1; index >= 0; index--) {
       const prefix = shared[index]
       if (prefix === undefined) continue
-      for (const [id, readAt] of this._notes.get(prefix.key)?.readAt ?? []) if (candidateIds.has(id) && now - readAt < KEPT_MS) return { id, tokens: prefix.tokens }
+      for (const [id, sentAt] of this._prefixes.get(prefix.key)?.lastSentAt ?? []) if (candidateIds.has(id) && now - sentAt < RETENTION_MS) return { id, tokens: prefix.tokens }
     }
     return undefined
   }
 
-  /** Whether any upstream was sent one of the beginnings. */
+  /** Whether one of the prefixes was sent to an upstream that is still known. */
   isKnown (shared: readonly SharedPrefix[]): boolean {
-    return shared.some(({ key }) => (this._notes.get(key)?.readAt.size ?? 0) > 0)
+    return shared.some(({ key }) => (this._prefixes.get(key)?.lastSentAt.size ?? 0) > 0)
   }
 
-  /** The upstream is gone, and what it kept. */
   drop (targetId: string): void {
-    for (const { readAt } of this._notes.values()) readAt.delete(targetId)
+    for (const { lastSentAt } of this._prefixes.values()) lastSentAt.delete(targetId)
   }
 
-  /** The newest notes, at most so many. */
+  /** Returns the most recently used entries, up to `maxCount`. */
   list (maxCount: number, now: number): readonly PrefixNote[] {
-    const notes = [...this._notes.values()].slice(-maxCount)
-    return notes.flatMap(({ shared, readAt }) => [...readAt].map(([targetId, at]) => ({ shared, targetId, ageMs: Math.max(0, now - at) }))).slice(-maxCount)
+    const entries = [...this._prefixes.values()].slice(-maxCount)
+    return entries.flatMap(({ shared, lastSentAt }) => [...lastSentAt].map(([targetId, at]) => ({ shared, targetId, ageMs: Math.max(0, now - at) }))).slice(-maxCount)
   }
 
-  private _countLongest (shared: readonly SharedPrefix[], holds: (key: string) => boolean): number {
+  private _countLongest (shared: readonly SharedPrefix[], isCached: (key: string) => boolean): number {
     for (let index = shared.length - 1; index >= 0; index--) {
       const prefix = shared[index]
-      if (prefix !== undefined && holds(prefix.key)) return prefix.tokens
+      if (prefix !== undefined && isCached(prefix.key)) return prefix.tokens
     }
     return 0
   }
 
-  private _dropOldest (): void {
-    const [oldest] = this._notes.keys()
-    if (oldest !== undefined) this._notes.delete(oldest)
+  private _evictOldest (): void {
+    const [oldest] = this._prefixes.keys()
+    if (oldest !== undefined) this._prefixes.delete(oldest)
   }
 }
--- a/src/services/preparation/common/preparationJob.ts
+++ b/src/services/preparation/common/preparationJob.ts
@@ -1,48 +1,48 @@
 /**
- * Work that has to be done before a request can run: stages of pieces, some of which need the results of others.
+ * Work that has to be done before a request can run: a graph of stages, each of which consists of pieces.
  */
 import type { SharedPrefix } from './prefixBook.ts'
 
 export interface JobStage {
   readonly role: string
-  /** Indexes of the stages whose results this one needs; stages that are left out are not among them. */
+  /** Indexes of the stages whose results this one needs; skipped stages are not listed. */
   readonly after: readonly number[]
   readonly pieceCount: number
-  /** About the size of one result. */
+  /** Estimated size of one result. */
   readonly resultBytes: number
 }
 
-/** What is known of the request that takes the results. */
+/** Properties of the request that uses the results. */
 export interface RequestShape {
-  /** The role of the upstreams that can run it. */
+  /** The role of the upstreams that can run the request. */
   readonly role: string
-  /** Beginnings that other prompts have as well, the shortest first. */
+  /** Prefixes that the prompt shares with others, the shortest first. */
   readonly shared: readonly SharedPrefix[]
   readonly inputTokens: number
 }
 
 export interface PreparationJob {
-  /** The id of the caller's try; pieces carry it. */
+  /** The id of the caller's attempt, which is sent along with the pieces. */
   readonly id: string
-  /** What the pieces of stages without inputs work on. */
+  /** Identifies the input of pieces in stages without input stages. */
   readonly key: string
   readonly stages: readonly JobStage[]
   readonly request: RequestShape
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   readonly rank: number
-  /** Milliseconds until the results are of full use, from now. */
+  /** Time, from now, by which the results should be complete. */
   readonly goalInMs: number
-  /** Milliseconds until nobody wants the results any more, from now. */
+  /** Time, from now, after which the results are useless. */
   readonly deadlineInMs: number
-  /** Upstreams have ended under the request or its pieces, so these go into no call with those of others. */
+  /** Upstreams have crashed while running the request or its pieces, so its pieces never share a call with those of other jobs. */
   readonly isSuspect?: boolean
-  /** The only halls that its pieces and the request itself may go to; undefined for all. */
+  /** The only halls that may run its pieces and the request itself; undefined for all. */
   readonly homeHalls?: readonly string[] | undefined
-  /** Upstreams that its owner cannot send the request to now, whatever others may. */
+  /** Upstreams that its owner cannot send the request to now, even if other nodes can. */
   readonly excludedTargets?: readonly string[] | undefined
 }
 
-/** Whether results have to be made; otherwise only an upstream is asked for. */
+/** Whether the job has results to compute; if not, only a target is chosen for its request. */
 export function hasPieces (job: PreparationJob): boolean {
   return job.stages.some(stage => stage.pieceCount > 0)
 }
@@ -50,30 +50,29 @@
 /** A result that an upstream holds. */
 export interface PieceResult {
   readonly handle: string
-  /** The boot that made it. */
+  /** The upstream instance that computed the result. */
   readonly upstreamId: string
 }
 
-/** A result of a job and the piece that it is of. */
+/** A result along with the piece of a job that it belongs to. */
 export interface MadePiece {
   readonly stage: number
   readonly index: number
   readonly result: PieceResult
 }
 
-/** A result that was made under an earlier plan. */
+/** A result that was computed under an earlier plan. */
 export interface CarriedPiece extends MadePiece {
   readonly ageMs: number
 }
 
-/** How a job is put to a plan. */
-export interface AdmissionTerms {
-  /** Another plan may be asked as well, so what would be late is declined. */
+export interface AdmissionOptions {
+  /** Another plan may be tried as well, so the job is declined if it would miss its goal. */
   readonly isOffer: boolean
 }
 
-export interface NewJobOptions extends Partial<AdmissionTerms> {
-  /** What an earlier plan made for the job. */
+export interface NewJobOptions extends Partial<AdmissionOptions> {
+  /** Results that an earlier plan computed for the job. */
   readonly carried?: readonly CarriedPiece[]
 }
 
@@ -83,14 +82,14 @@
   readonly retryAfterMs: number
 }
 
-/** A plan that was offered a job could make it, but not in time. */
+/** The plan could complete an offered job, but not by its goal. */
 export interface JobDecline {
   readonly reason: 'late'
-  /** When it would be done there, in milliseconds from now. */
+  /** Forecast completion time, from now. */
   readonly endInMs: number
 }
 
-/** The stages that no other stage needs: the request itself takes their results. */
+/** Returns the stages that no other stage needs: the request itself uses their results. */
 export function listLastStages (stages: readonly JobStage[]): readonly number[] {
   const needed = new Set(stages.flatMap(stage => stage.pieceCount > 0 ? stage.after : []))
   return stages.flatMap((stage, index) => stage.pieceCount > 0 && !needed.has(index) ? [index] : [])
--- a/src/services/preparation/common/preparationMessage.ts
+++ b/src/services/preparation/common/preparationMessage.ts
@@ -1,38 +1,38 @@
 /**
- * The messages between the owners of jobs and their coordinator, and the check that each gets on arrival.
+ * Messages between the owners of jobs and their coordinator, and their validation on receipt.
  */
 import { Schema } from 'effect'
 import { createMessageCheck, listKinds } from '../../rpc/common/messageCheck.ts'
 
 const Count = Schema.Number.pipe(Schema.int(), Schema.nonNegative())
-const Span = Schema.Number.pipe(Schema.nonNegative())
+const NonNegative = Schema.Number.pipe(Schema.nonNegative())
 const Id = Schema.String.pipe(Schema.minLength(1), Schema.maxLength(512))
 
 const MAX_STAGES = 64
 const MAX_PIECES = 10_000
 const MAX_PREFIX_PARTS = 64
-/** The most upstreams that a job names as closed to its request. */
+/** Maximum number of upstreams that a job may exclude as targets of its request. */
 export const MAX_EXCLUDED_TARGETS = 200
-/** The most notes on prefixes that one message holds. */
+/** Maximum number of prefix cache entries in one message. */
 export const MAX_PREFIX_NOTES = 400
 
 const StageSchema = Schema.Struct({
   role: Id,
   after: Schema.Array(Count).pipe(Schema.maxItems(MAX_STAGES)),
   pieceCount: Count.pipe(Schema.lessThanOrEqualTo(MAX_PIECES)),
-  resultBytes: Span
+  resultBytes: NonNegative
 })
 
-const SharedSchema = Schema.Array(Schema.Struct({ key: Schema.String.pipe(Schema.maxLength(4096)), tokens: Count })).pipe(Schema.maxItems(MAX_PREFIX_PARTS))
+const SharedPrefixesSchema = Schema.Array(Schema.Struct({ key: Schema.String.pipe(Schema.maxLength(4096)), tokens: Count })).pipe(Schema.maxItems(MAX_PREFIX_PARTS))
 
 const JobSchema = Schema.Struct({
   id: Id,
   key: Schema.String.pipe(Schema.maxLength(4096)),
   stages: Schema.Array(StageSchema).pipe(Schema.maxItems(MAX_STAGES)),
-  request: Schema.Struct({ role: Id, shared: SharedSchema, inputTokens: Count }),
+  request: Schema.Struct({ role: Id, shared: SharedPrefixesSchema, inputTokens: Count }),
   rank: Count,
-  goalInMs: Span,
-  deadlineInMs: Span,
+  goalInMs: NonNegative,
+  deadlineInMs: NonNegative,
   isSuspect: Schema.optional(Schema.Boolean),
   homeHalls: Schema.optional(Schema.Array(Schema.String.pipe(Schema.maxLength(256)))),
   excludedTargets: Schema.optional(Schema.Array(Id).pipe(Schema.maxItems(MAX_EXCLUDED_TARGETS)))
@@ -40,71 +40,71 @@
 
 const ResultSchema = Schema.Struct({ handle: Id, upstreamId: Id })
 
-const MadePieceSchema = Schema.Struct({ stage: Count, index: Count, result: ResultSchema })
+const ComputedPieceSchema = Schema.Struct({ stage: Count, index: Count, result: ResultSchema })
 
-const CarriedPieceSchema = Schema.Struct({ ...MadePieceSchema.fields, ageMs: Span })
+const CarriedPieceSchema = Schema.Struct({ ...ComputedPieceSchema.fields, ageMs: NonNegative })
 
 const PreparationMessageSchema = Schema.Union(
-  /** An owner wants a job done. */
+  /** An owner submits a job. */
   Schema.Struct({
     kind: Schema.Literal('job'),
     job: JobSchema,
-    /** The hall whose upstreams do it; empty for all. */
+    /** The hall whose upstreams run the job; empty for all halls. */
     hall: Schema.String.pipe(Schema.maxLength(256)),
-    /** What would be late may be declined. */
+    /** The coordinator may decline the job if it would miss its goal. */
     isOffer: Schema.optionalWith(Schema.Boolean, { default: () => false }),
-    /** What an earlier coordinator made. */
+    /** Results that were computed under an earlier coordinator. */
     carried: Schema.Array(CarriedPieceSchema).pipe(Schema.maxItems(MAX_PIECES))
   }),
-  /** An owner needs the results no more. */
+  /** An owner no longer needs the results. */
   Schema.Struct({ kind: Schema.Literal('release'), jobId: Id }),
-  /** The request has shown its first event, or failed, at the upstream that the coordinator chose. */
-  Schema.Struct({ kind: Schema.Literal('report'), jobId: Id, outcome: Schema.Literal('produced', 'failed', 'unused'), producedMs: Span }),
-  /** An owner found results missing. */
+  /** Outcome of the request at the target that the coordinator chose: its first event arrived, or it failed. */
+  Schema.Struct({ kind: Schema.Literal('report'), jobId: Id, outcome: Schema.Literal('produced', 'failed', 'unused'), producedMs: NonNegative }),
+  /** Results were missing when the owner used them. */
   Schema.Struct({ kind: Schema.Literal('reopen'), jobId: Id }),
-  /** Results that lie at their makers, for the case that the coordinator is lost. */
-  Schema.Struct({ kind: Schema.Literal('made'), jobId: Id, pieces: Schema.Array(MadePieceSchema) }),
-  /** A call with pieces of the job was cut off. */
-  Schema.Struct({ kind: Schema.Literal('lost'), jobId: Id, upstreamId: Id, sentBeforeMs: Span }),
-  /** A job that was offered would be late. */
-  Schema.Struct({ kind: Schema.Literal('declined'), jobId: Id, endInMs: Span }),
-  /** The coordinator ends and leaves the job, with its results, to the next one. */
+  /** Results that are stored at upstreams, so that another coordinator can continue if this one is lost. */
+  Schema.Struct({ kind: Schema.Literal('made'), jobId: Id, pieces: Schema.Array(ComputedPieceSchema) }),
+  /** An upstream may have crashed during a call with pieces of the job. */
+  Schema.Struct({ kind: Schema.Literal('lost'), jobId: Id, upstreamId: Id, sentBeforeMs: NonNegative }),
+  /** The coordinator declines an offered job, since it would miss its goal. */
+  Schema.Struct({ kind: Schema.Literal('declined'), jobId: Id, endInMs: NonNegative }),
+  /** The coordinator is draining and leaves the job, with its results, to the next one. */
   Schema.Struct({ kind: Schema.Literal('moved'), jobId: Id }),
-  /** The coordinator has all results. */
+  /** All results are computed. */
   Schema.Struct({
     kind: Schema.Literal('prepared'),
     jobId: Id,
     results: Schema.Array(ResultSchema),
-    /** The upstream that should take the request; empty when there is none. */
+    /** The upstream that should run the request; empty if there is none. */
     targetId: Schema.String,
-    /** The upstream that the target should take the beginning of the prompt from; empty when there is none. */
+    /** The upstream that the target should fetch the cached prefix from; empty if there is none. */
     prefixSourceId: Schema.String,
     hall: Schema.String,
-    times: Schema.Struct({ queuedMs: Span, madeMs: Span, betweenMs: Span })
+    times: Schema.Struct({ queuedMs: NonNegative, madeMs: NonNegative, betweenMs: NonNegative })
   }),
-  /** The coordinator gives the job up. */
+  /** The coordinator refuses the job. */
   Schema.Struct({
     kind: Schema.Literal('refused'),
     jobId: Id,
-    refusal: Schema.Struct({ reason: Schema.Literal('overloaded', 'tooLate', 'noUpstream', 'interrupted'), retryAfterMs: Span })
+    refusal: Schema.Struct({ reason: Schema.Literal('overloaded', 'tooLate', 'noUpstream', 'interrupted'), retryAfterMs: NonNegative })
   }),
-  /** What the owner knows of the upstreams that read its prompts, for a coordinator that may be new. */
+  /** Prefixes that the owner's requests left in upstream caches, for a coordinator that may be new. */
   Schema.Struct({
     kind: Schema.Literal('prefixes'),
     hall: Schema.String.pipe(Schema.maxLength(256)),
-    notes: Schema.Array(Schema.Struct({ shared: SharedSchema, targetId: Id, ageMs: Span })).pipe(Schema.maxItems(MAX_PREFIX_NOTES))
+    notes: Schema.Array(Schema.Struct({ shared: SharedPrefixesSchema, targetId: Id, ageMs: NonNegative })).pipe(Schema.maxItems(MAX_PREFIX_NOTES))
   }),
-  /** Asks for one request at a limited upstream of a hall whose coordinator the receiver is. */
+  /** Asks the coordinator of a hall for permission to send one request to a rate limited upstream of that hall. */
   Schema.Struct({
     kind: Schema.Literal('quotaWanted'),
     id: Count,
     upstreamId: Id,
-    /** What the asker knows of the upstream's limit; an earlier version does not tell it. */
-    limit: Schema.optional(Schema.Struct({ perS: Span, burst: Span }))
+    /** The upstream's limit as the sender knows it; earlier versions do not send it. */
+    limit: Schema.optional(Schema.Struct({ perS: NonNegative, burst: NonNegative }))
   }),
-  /** Whether it may go; otherwise when it makes sense to ask again. */
-  Schema.Struct({ kind: Schema.Literal('quotaAnswered'), id: Count, isGranted: Schema.Boolean, retryInMs: Span }),
-  /** Asks whether the other side lives. */
+  /** Whether the request may be sent; if not, when to ask again. */
+  Schema.Struct({ kind: Schema.Literal('quotaAnswered'), id: Count, isGranted: Schema.Boolean, retryInMs: NonNegative }),
+  /** Probes the other side of the link. */
   Schema.Struct({ kind: Schema.Literal('ping') }),
   Schema.Struct({ kind: Schema.Literal('pong') })
 )
--- a/src/services/preparation/common/preparationPlanner.ts
+++ b/src/services/preparation/common/preparationPlanner.ts
@@ -1,26 +1,26 @@
 /**
- * Plans the pieces of all jobs that a coordinator holds: which go together into a call, at which upstream, and when.
- * Pure: time is passed in, and calls are made by others.
+ * Schedules the pieces of all jobs of one coordinator: how they are batched into calls, on which upstream each call runs,
+ * and when. Does no I/O and reads no clock: the caller passes the time in, makes the planned calls and reports the results.
  */
-import { BatchChoice } from './batchChoice.ts'
-import { computeRetryAfter, decideAdmission } from './jobForecast.ts'
+import { BatchPlanner } from './batchPlanner.ts'
+import { computeRetryAfterMs, decideAdmission } from './jobForecast.ts'
 import { JobOrder } from './jobOrder.ts'
 import { JobState } from './jobState.ts'
 import { JobTargets } from './jobTargets.ts'
 import type { JobTargetsOptions } from './jobTargets.ts'
 import { HallLoads } from './hallLoads.ts'
-import { HeldResults } from './heldResults.ts'
+import { JobResults } from './jobResults.ts'
 import { computeCallMs, PieceUpstream } from './pieceUpstream.ts'
 import type { PieceUpstreamOptions, PieceWorkSpec } from './pieceUpstream.ts'
 import { PieceUpstreams } from './pieceUpstreams.ts'
 import { PendingFrees } from './pendingFrees.ts'
-import { isCutOff } from './plannedCall.ts'
+import { isPossibleCrash } from './plannedCall.ts'
 import type { JobNews, PieceCallOutcome, PieceOutcome, PlannedCall, PlannedFree } from './plannedCall.ts'
 import { hasPieces } from './preparationJob.ts'
-import type { AdmissionTerms, JobDecline, JobRefusal, NewJobOptions, PieceResult, PreparationJob } from './preparationJob.ts'
+import type { AdmissionOptions, JobDecline, JobRefusal, NewJobOptions, PieceResult, PreparationJob } from './preparationJob.ts'
 import { measurePlanLoad } from './planLoad.ts'
 import type { PlanLoad } from './planLoad.ts'
-import { createPlannedPiece, getPiece, listLostNews, listMadeNews } from './readyPiece.ts'
+import { createPlannedPiece, getPiece, createLostUpdates, createComputedUpdates } from './readyPiece.ts'
 import type { PieceKey, ReadyPiece } from './readyPiece.ts'
 import { findMainHall } from './resultHalls.ts'
 import type { PrefixNote } from './prefixBook.ts'
@@ -32,38 +32,38 @@
   readonly startedAt: number
 }
 
-/** A call that takes so many times what it should, and some more, is given up. */
+/** A call times out after its expected duration (scaled by the slowness of the upstream) times the factor, plus the extra. */
 const TIMEOUT_FACTOR = 3
 const TIMEOUT_EXTRA_MS = 500
-const FULL_PAUSE_MS = 60
-/** A result this close to the end of its lifetime is not relied on. */
+const FULL_BACKOFF_MS = 60
+/** Results are recomputed this long before the upstream may evict them. */
 const LIFETIME_MARGIN_MS = 400
 const INTERRUPTED_RETRY_MS = 300
-/** How often it is looked at what can still be done in time. */
+/** Minimum interval between two forecasts of all jobs. */
 const FORECAST_PERIOD_MS = 50
 
 export class PreparationPlanner {
   private readonly _upstreams = new Map<string, PieceUpstream>()
-  /** What upstreams of a role do; the configuration says the same of all of them. */
-  private readonly _works = new Map<string, PieceWorkSpec>()
+  /** By role; the configuration defines the same values for all upstreams of a role. */
+  private readonly _workSpecs = new Map<string, PieceWorkSpec>()
   private readonly _jobs = new Map<string, JobState>()
   private readonly _pool = new PieceUpstreams(this._upstreams)
-  private readonly _order = new JobOrder(this._works, this._pool)
-  private readonly _batches = new BatchChoice(this._pool, this._order)
-  private readonly _halls = new HallLoads(this._upstreams, this._jobs, this._works)
+  private readonly _jobOrder = new JobOrder(this._workSpecs, this._pool)
+  private readonly _batchPlanner = new BatchPlanner(this._pool, this._jobOrder)
+  private readonly _hallLoads = new HallLoads(this._upstreams, this._jobs, this._workSpecs)
   private readonly _calls = new Map<number, StartedCall>()
-  private readonly _frees = new PendingFrees()
-  private readonly _results = new HeldResults(this._upstreams, this._frees)
+  private readonly _pendingFrees = new PendingFrees()
+  private readonly _jobResults = new JobResults(this._upstreams, this._pendingFrees)
   private readonly _targets: JobTargets
-  private readonly _blocked = new Set<JobState>()
-  private _news: JobNews[] = []
+  private readonly _blockedJobs = new Set<JobState>()
+  private _updates: JobNews[] = []
   private _nextCallId = 1
   private _forecastAt = -Infinity
-  private _isEnding = false
+  private _isDraining = false
 
-  /** The targets are the upstreams that requests themselves go to; without the second, those that are listed are all. */
+  /** Targets are the upstreams that run the requests themselves. Without `hasOpenTarget`, the listed targets are regarded as all that exist. */
   constructor (listTargets: JobTargetsOptions['listTargets'], hasOpenTarget: JobTargetsOptions['hasOpenTarget'] = role => listTargets(role).some(({ limit }) => limit === undefined)) {
-    this._targets = new JobTargets({ listTargets, hasOpenTarget, halls: this._halls, upstreams: this._upstreams })
+    this._targets = new JobTargets({ listTargets, hasOpenTarget, halls: this._hallLoads, upstreams: this._upstreams })
   }
 
   get jobCount (): number {
@@ -71,128 +71,128 @@
   }
 
   get hasFrees (): boolean {
-    return !this._frees.isEmpty
+    return !this._pendingFrees.isEmpty
   }
 
-  /** Adds an upstream or takes in what changed of it. */
+  /** Adds an upstream, or updates the work specification of a known one. */
   setUpstream (options: PieceUpstreamOptions): void {
-    const held = this._upstreams.get(options.id)
-    this._works.set(options.role, options.work)
-    if (held === undefined) this._upstreams.set(options.id, new PieceUpstream(options))
-    else held.work = options.work
+    const existing = this._upstreams.get(options.id)
+    this._workSpecs.set(options.role, options.work)
+    if (existing === undefined) this._upstreams.set(options.id, new PieceUpstream(options))
+    else existing.work = options.work
   }
 
-  /** Whether new calls may go there; results that lie there can still be fetched. */
-  setTakesWork (upstreamId: string, takesWork: boolean): void {
+  /** Sets whether the upstream accepts new calls. Results that it holds can be fetched in either case. */
+  setTakesWork (upstreamId: string, acceptsWork: boolean): void {
     const upstream = this._upstreams.get(upstreamId)
-    if (upstream !== undefined) upstream.takesWork = takesWork
+    if (upstream !== undefined) upstream.acceptsWork = acceptsWork
   }
 
-  /** The upstream is gone, and with it its results. */
+  /** Removes an upstream. Its results are lost, and those that are still needed are recomputed. */
   dropUpstream (upstreamId: string): void {
-    this._targets.planner.drop(upstreamId)
+    this._targets.planner.removeTarget(upstreamId)
     if (!this._upstreams.delete(upstreamId)) return
-    this._frees.drop(upstreamId)
-    for (const state of this._jobs.values()) this._results.reopenLost(state, result => result.upstreamId === upstreamId)
+    this._pendingFrees.discard(upstreamId)
+    for (const state of this._jobs.values()) this._jobResults.reopenLost(state, result => result.upstreamId === upstreamId)
   }
 
-  /** Takes a job in, or says why not. What an earlier plan made for it is used, or given back. */
+  /** Admits a job, or returns why not. Results carried over from an earlier plan are reused, or freed on refusal. */
   addJob (job: PreparationJob, now: number, { carried = [], isOffer = false }: NewJobOptions = {}): JobRefusal | JobDecline | undefined {
     if (this._jobs.has(job.id)) return undefined
     const state = new JobState(job, now)
-    this._results.restore(state, carried, now)
+    this._jobResults.restore(state, carried, now)
     this._targets.choose(state, now)
     const refusal = hasPieces(job) ? this._decideAdmission(state, now, { isOffer }) : undefined
     if (refusal !== undefined) {
-      this._results.freeAll(state)
+      this._jobResults.freeAll(state)
       return refusal
     }
     this._jobs.set(job.id, state)
     job.stages.forEach(stage => this._pool.getRate(stage.role).recordArrival(job.rank, stage.pieceCount, now))
-    state.chainHall = this._halls.chooseChainHall(state, now)
+    state.chainHall = this._hallLoads.chooseChainHall(state, now)
     if (carried.length > 0 || state.isDone) this._advance(state, now)
     return undefined
   }
 
-  private _decideAdmission (state: JobState, now: number, terms: AdmissionTerms): JobRefusal | JobDecline | undefined {
+  private _decideAdmission (state: JobState, now: number, admissionOptions: AdmissionOptions): JobRefusal | JobDecline | undefined {
     const capacities = this._pool.computeCapacities(now)
-    const forecast = this._order.forecast([...this._jobs.values(), state], capacities, now, state).find(other => other.state === state)
-    return forecast === undefined ? undefined : decideAdmission(this._targets.addWait(forecast, this._jobs.values(), now), capacities, now, terms)
+    const forecast = this._jobOrder.forecast([...this._jobs.values(), state], capacities, now, state).find(other => other.state === state)
+    return forecast === undefined ? undefined : decideAdmission(this._targets.addTargetWait(forecast, this._jobs.values(), now), capacities, now, admissionOptions)
   }
 
-  /** Takes in what owners know of the prompts that upstreams have read. */
-  addPrefixes (notes: readonly PrefixNote[], now: number): void {
-    this._targets.planner.addPrefixes(notes, now)
+  /** Merges prefix cache entries that owners of jobs have recorded. */
+  addPrefixes (prefixEntries: readonly PrefixNote[], now: number): void {
+    this._targets.planner.addPrefixes(prefixEntries, now)
   }
 
-  /** Takes in how a request fared at its target. */
+  /** Records the outcome of a request at its target. */
   reportTarget (jobId: string, report: TargetReport, now: number): void {
     this._targets.planner.settle(jobId, report, now)
   }
 
-  /** The owner needs the results no more: they are given back, and what was not made is not made. */
+  /** Removes a job whose owner no longer needs the results. Its results are freed, and no further pieces start. */
   releaseJob (jobId: string): void {
     const state = this._jobs.get(jobId)
     if (state === undefined) return
     this._jobs.delete(jobId)
-    this._blocked.delete(state)
-    this._results.freeAll(state)
+    this._blockedJobs.delete(state)
+    this._jobResults.freeAll(state)
   }
 
   /**
-   * From now on no call starts, and jobs leave with `takeIdleJobs`. Their results stay where they are: the next plan
-   * goes on from them.
+   * Stops starting calls. Jobs leave once they have no running call; their results stay at the upstreams, so that the next
+   * plan can reuse them.
    */
   end (): void {
-    this._isEnding = true
+    this._isDraining = true
   }
 
-  /** Jobs of a plan that ends and for which nothing is being made any more. */
+  /** Removes and returns the jobs of a draining plan that have no running call. */
   takeIdleJobs (): readonly string[] {
-    if (!this._isEnding) return []
-    const idle = [...this._jobs.values()].filter(state => !state.isHandedOver && !state.isRunning)
-    for (const state of idle) this._jobs.delete(state.job.id)
-    return idle.map(state => state.job.id)
+    if (!this._isDraining) return []
+    const idleJobs = [...this._jobs.values()].filter(state => !state.isHandedOver && !state.isRunning)
+    for (const state of idleJobs) this._jobs.delete(state.job.id)
+    return idleJobs.map(state => state.job.id)
   }
 
-  /** Nobody is known to want the job: nothing more is made for it, and its results stay until it is released. */
+  /** Suspends a job whose owner is disconnected: no further calls start for it, and its results stay until it is released. */
   detachJob (jobId: string): void {
     const state = this._jobs.get(jobId)
     if (state !== undefined) state.isDetached = true
   }
 
-  /** Leaves a job out without giving its results back: its owner brings them with it again. */
+  /** Removes a job without freeing its results: its owner submits the job again and lists them. */
   forgetJob (jobId: string): void {
     const state = this._jobs.get(jobId)
     if (state === undefined) return
     this._jobs.delete(jobId)
-    this._results.forgetAll(state)
+    this._jobResults.forgetAll(state)
   }
 
-  /** An upstream of the request found inputs missing: those that may be gone are made again. */
+  /** Recomputes inputs that the target did not find: those at unusable upstreams, or all if every upstream is usable. False for an unknown job. */
   reopenJob (jobId: string, now: number): boolean {
     const state = this._jobs.get(jobId)
     if (state === undefined) return false
     state.isHandedOver = false
-    const isSuspect = (result: PieceResult) => this._upstreams.get(result.upstreamId)?.isUsable(now) !== true
-    const hasSuspects = state.listFinalResults().some(isSuspect)
-    this._results.reopenLost(state, result => !hasSuspects || isSuspect(result))
+    const isAtUnusable = (result: PieceResult) => this._upstreams.get(result.upstreamId)?.isUsable(now) !== true
+    const hasUnusable = state.listFinalResults().some(isAtUnusable)
+    this._jobResults.reopenLost(state, result => !hasUnusable || isAtUnusable(result))
     return true
   }
 
-  /** Starts the calls that should be made now. */
+  /** Plans the calls that should start now and marks their pieces as running; the caller sends them. */
   startCalls (now: number): readonly PlannedCall[] {
-    this._expire(now)
-    if (this._isEnding) return []
-    const idle = this._pool.groupIdle(now)
-    if (idle.size === 0 || this._jobs.size === 0) return []
-    const ready = this._batches.groupReady(this._jobs.values(), idle, now)
+    this._expireJobs(now)
+    if (this._isDraining) return []
+    const availableByRole = this._pool.groupAvailable(now)
+    if (availableByRole.size === 0 || this._jobs.size === 0) return []
+    const ready = this._batchPlanner.groupReady(this._jobs.values(), availableByRole, now)
     const calls: PlannedCall[] = []
-    for (const [role, upstreams] of idle) {
+    for (const [role, upstreams] of availableByRole) {
       const pieces = ready.get(role) ?? []
       let startedCount = 0
-      this._batches.spread(pieces, upstreams, now, (upstream, chosen, leftWaiting) => {
-        calls.push(this._start(upstream, chosen, leftWaiting, now))
+      this._batchPlanner.assignBatches(pieces, upstreams, now, (upstream, chosen, leftWaiting) => {
+        calls.push(this._startCall(upstream, chosen, leftWaiting, now))
         startedCount += chosen.length
       })
       this._pool.getRate(role).setBacklog(pieces.length > startedCount, now)
@@ -200,7 +200,7 @@
     return calls
   }
 
-  /** Takes in how a call ended. */
+  /** Records the outcome of a call. */
   settleCall (callId: number, outcome: PieceCallOutcome, now: number): void {
     const started = this._calls.get(callId)
     if (started === undefined) return
@@ -210,35 +210,35 @@
       upstream.runningCalls--
       if (started.pieces.some(piece => piece.isSuspect)) upstream.hasSuspectCall = false
     }
-    for (const piece of started.pieces) piece.state.clock.recordEnd(now)
+    for (const piece of started.pieces) piece.state.timer.recordEnd(now)
     if (outcome.kind === 'answered') {
       upstream?.recordCall(now - started.startedAt, started.call.expectedMs, now)
-      const madePieces = outcome.pieces.filter(piece => piece.kind === 'made').length
-      this._pool.getRate(started.call.role).recordCall(madePieces, now - started.startedAt, now)
-      started.pieces.forEach((piece, index) => this._settlePiece(piece, outcome.pieces[index] ?? { kind: 'failed', reason: 'failed' }, upstream, started, now))
+      const computedCount = outcome.pieces.filter(piece => piece.kind === 'made').length
+      this._pool.getRate(started.call.role).recordCall(computedCount, now - started.startedAt, now)
+      started.pieces.forEach((piece, index) => this._recordPieceOutcome(piece, outcome.pieces[index] ?? { kind: 'failed', reason: 'failed' }, upstream, started, now))
     } else {
-      this._settleFailedCall(started, outcome, upstream, now)
+      this._recordFailedCall(started, outcome, upstream, now)
     }
-    this._news.push(...listMadeNews(started.pieces.filter(({ state }) => this._holds(state))))
+    this._updates.push(...createComputedUpdates(started.pieces.filter(({ state }) => this._hasJob(state))))
     for (const state of new Set(started.pieces.map(piece => piece.state))) this._advance(state, now)
   }
 
-  /** What the owners of jobs have to be told since the last time. */
+  /** Returns the updates for owners of jobs since the last call, and clears them. */
   takeNews (): readonly JobNews[] {
-    const news = this._news
-    this._news = []
-    return news
+    const updates = this._updates
+    this._updates = []
+    return updates
   }
 
-  /** What has to be given back at upstreams since the last time. */
+  /** Returns the results to free at upstreams since the last call, and clears them. */
   takeFrees (): readonly PlannedFree[] {
-    return this._frees.take()
+    return this._pendingFrees.dequeueAll()
   }
 
   settleFree (free: PlannedFree, isDone: boolean, now: number): void {
     const upstream = this._upstreams.get(free.upstreamId)
     if (isDone) upstream?.releaseRoom(free.bytes)
-    else upstream?.loseRoom(free.bytes, now)
+    else upstream?.retainRoom(free.bytes, now)
   }
 
   measureLoad (now: number): PlanLoad {
@@ -260,102 +260,102 @@
     }
   }
 
-  private _start (upstream: PieceUpstream, chosen: readonly ReadyPiece[], leftWaiting: number, now: number): PlannedCall {
-    const expectedMs = computeCallMs(upstream.work, chosen.length)
+  private _startCall (upstream: PieceUpstream, batch: readonly ReadyPiece[], leftWaiting: number, now: number): PlannedCall {
+    const expectedMs = computeCallMs(upstream.work, batch.length)
     const call: PlannedCall = {
       id: this._nextCallId++,
       upstreamId: upstream.id,
       role: upstream.role,
       leftWaiting,
       freeBytes: upstream.getFreeBytes(now),
-      pieces: chosen.map(piece => createPlannedPiece(piece, now)),
+      pieces: batch.map(piece => createPlannedPiece(piece, now)),
       expectedMs,
       timeoutMs: expectedMs * TIMEOUT_FACTOR * Math.max(1, upstream.getSlowness(now)) + TIMEOUT_EXTRA_MS
     }
     upstream.runningCalls++
-    upstream.hasSuspectCall = chosen.some(piece => piece.isSuspect)
-    for (const piece of chosen) {
+    upstream.hasSuspectCall = batch.some(piece => piece.isSuspect)
+    for (const piece of batch) {
       getPiece(piece).status = 'running'
-      piece.state.clock.recordStart(now)
-      upstream.holdRoom(piece.bytes)
+      piece.state.timer.recordStart(now)
+      upstream.reserveRoom(piece.bytes)
     }
-    this._calls.set(call.id, { call, pieces: chosen, startedAt: now })
+    this._calls.set(call.id, { call, pieces: batch, startedAt: now })
     return call
   }
 
-  private _settlePiece (started: PieceKey, outcome: PieceOutcome, upstream: PieceUpstream | undefined, call: StartedCall, now: number): void {
-    const piece = getPiece(started)
-    const bytes = started.state.job.stages[started.stage]?.resultBytes ?? 0
+  private _recordPieceOutcome (pieceKey: PieceKey, outcome: PieceOutcome, upstream: PieceUpstream | undefined, startedCall: StartedCall, now: number): void {
+    const piece = getPiece(pieceKey)
+    const bytes = pieceKey.state.job.stages[pieceKey.stage]?.resultBytes ?? 0
     if (outcome.kind === 'made') {
       piece.status = 'made'
-      piece.madeAt = now
-      piece.result = { handle: outcome.handle, upstreamId: call.call.upstreamId }
-      if (upstream === undefined) started.state.reopen(started.stage, piece)
-      else if (!this._holds(started.state)) this._results.freePiece(piece, bytes)
+      piece.computedAt = now
+      piece.result = { handle: outcome.handle, upstreamId: startedCall.call.upstreamId }
+      if (upstream === undefined) pieceKey.state.reopen(pieceKey.stage, piece)
+      else if (!this._hasJob(pieceKey.state)) this._jobResults.freePiece(piece, bytes)
       return
     }
     upstream?.releaseRoom(bytes)
-    if (outcome.reason === 'noRoom') upstream?.noteFull(now)
+    if (outcome.reason === 'noRoom') upstream?.recordFull(now)
     else piece.failures++
-    started.state.reopen(started.stage, piece)
-    if (outcome.reason === 'inputGone') this._reopenInputs(started.state, started.stage, now)
+    pieceKey.state.reopen(pieceKey.stage, piece)
+    if (outcome.reason === 'inputGone') this._reopenInputs(pieceKey.state, pieceKey.stage, now)
   }
 
-  /** An input is gone: those at upstreams that cannot be relied on are made again, or all of them. */
+  /** Recomputes missing inputs of a stage: those at unusable upstreams, or all if every upstream is usable. */
   private _reopenInputs (state: JobState, stage: number, now: number): void {
     const inputs = state.listInputs(stage)
-    const isSuspect = (result: PieceResult) => this._upstreams.get(result.upstreamId)?.isUsable(now) !== true
-    const suspects = inputs.filter(isSuspect)
-    const lost = new Set((suspects.length > 0 ? suspects : inputs).map(result => result.handle))
-    this._results.reopenLost(state, result => lost.has(result.handle))
+    const isAtUnusable = (result: PieceResult) => this._upstreams.get(result.upstreamId)?.isUsable(now) !== true
+    const unreliableInputs = inputs.filter(isAtUnusable)
+    const lostHandles = new Set((unreliableInputs.length > 0 ? unreliableInputs : inputs).map(result => result.handle))
+    this._jobResults.reopenLost(state, result => lostHandles.has(result.handle))
   }
 
-  private _settleFailedCall (started: StartedCall, outcome: PieceCallOutcome, upstream: PieceUpstream | undefined, now: number): void {
+  private _recordFailedCall (started: StartedCall, outcome: PieceCallOutcome, upstream: PieceUpstream | undefined, now: number): void {
     const bytes = started.pieces.reduce((sum, piece) => sum + (piece.state.job.stages[piece.stage]?.resultBytes ?? 0), 0)
-    if (outcome.kind === 'lost') upstream?.loseRoom(bytes, now)
+    if (outcome.kind === 'lost') upstream?.retainRoom(bytes, now)
     else upstream?.releaseRoom(bytes)
-    if (outcome.kind === 'notRun' && (outcome.reason === 'full' || outcome.reason === 'withheld')) upstream?.avoidBriefly(now, FULL_PAUSE_MS)
-    else if (outcome.kind === 'notRun' && outcome.reason === 'backingOff') upstream?.noteBackoff(now, outcome.retryInMs)
-    else if (outcome.kind === 'notRun' && outcome.reason === 'limited') upstream?.noteLimited(now, outcome.retryInMs)
-    else upstream?.avoid(now)
+    if (outcome.kind === 'notRun' && (outcome.reason === 'full' || outcome.reason === 'withheld')) upstream?.applyBriefBackoff(now, FULL_BACKOFF_MS)
+    else if (outcome.kind === 'notRun' && outcome.reason === 'backingOff') upstream?.recordRequestedBackoff(now, outcome.retryInMs)
+    else if (outcome.kind === 'notRun' && outcome.reason === 'limited') upstream?.recordRateLimit(now, outcome.retryInMs)
+    else upstream?.applyFailureBackoff(now)
     for (const { state, stage, index } of started.pieces) {
       const piece = getPiece({ state, stage, index })
       if (outcome.kind === 'lost') piece.failures++
-      if (isCutOff(outcome)) state.noteCut(piece)
+      if (isPossibleCrash(outcome)) state.recordPossibleCrash(piece)
       state.reopen(stage, piece)
     }
-    if (isCutOff(outcome)) this._news.push(...listLostNews(started.pieces, { upstreamId: started.call.upstreamId, sentBeforeMs: now - started.startedAt }))
+    if (isPossibleCrash(outcome)) this._updates.push(...createLostUpdates(started.pieces, { upstreamId: started.call.upstreamId, sentBeforeMs: now - started.startedAt }))
   }
 
-  /** Hands over what is done, gives back what was used, and gives up what fails again and again. */
+  /** Hands over a job that is done, frees results that no stage needs any more, and refuses a job with a piece that keeps failing. */
   private _advance (state: JobState, now: number): void {
-    if (!this._holds(state) || state.isHandedOver) return
-    if (state.pieces.some(stage => stage.some(piece => piece.hasFailedForGood))) return this._refuse(state, { reason: 'interrupted', retryAfterMs: INTERRUPTED_RETRY_MS })
-    for (const stage of state.listUsedUpStages()) this._results.freeStage(state, stage)
+    if (!this._hasJob(state) || state.isHandedOver) return
+    if (state.pieces.some(stage => stage.some(piece => piece.hasFailedPermanently))) return this._refuse(state, { reason: 'interrupted', retryAfterMs: INTERRUPTED_RETRY_MS })
+    for (const stage of state.listConsumedStages()) this._jobResults.freeStage(state, stage)
     if (!state.isDone || state.isDetached) return
-    if (this._targets.isBlocked(state, this._blocked.size, now)) {
-      this._blocked.add(state)
+    if (this._targets.isBlocked(state, this._blockedJobs.size, now)) {
+      this._blockedJobs.add(state)
       return
     }
     state.isHandedOver = true
     const results = state.listFinalResults()
     this._targets.choose(state, now)
-    this._news.push({ kind: 'prepared', jobId: state.job.id, results, targetId: state.targetId, prefixSourceId: state.prefixSourceId, hall: findMainHall(results, id => this._upstreams.get(id)?.hall), times: state.clock.measure(now) })
+    this._updates.push({ kind: 'prepared', jobId: state.job.id, results, targetId: state.targetId, prefixSourceId: state.prefixSourceId, hall: findMainHall(results, id => this._upstreams.get(id)?.hall), times: state.timer.measure(now) })
   }
 
-  /** Jobs whose results are there and whose request no upstream accepted, in the order in which they should go. */
+  /** Hands over jobs that waited for a target with capacity, in scheduling order. Refuses those that would wait past their deadline. */
   private _advanceBlocked (now: number): void {
-    const blocked = this._order.rank(this._blocked, now)
-    this._blocked.clear()
+    const blocked = this._jobOrder.rank(this._blockedJobs, now)
+    this._blockedJobs.clear()
     for (const state of blocked) this._advance(state, now)
     let ahead = 0
-    for (const state of [...this._blocked]) {
+    for (const state of [...this._blockedJobs]) {
       const waitMs = this._targets.estimateWaitMs(state, ahead++, now)
-      if (now + waitMs + state.requestMs > state.deadlineAt) this._refuse(state, { reason: 'overloaded', retryAfterMs: Math.round(Math.min(waitMs, state.job.deadlineInMs)) })
+      if (now + waitMs + state.expectedRequestMs > state.deadlineAt) this._refuse(state, { reason: 'overloaded', retryAfterMs: Math.round(Math.min(waitMs, state.job.deadlineInMs)) })
     }
   }
 
-  private _expire (now: number): void {
+  private _expireJobs (now: number): void {
     if (now - this._forecastAt < FORECAST_PERIOD_MS) return
     this._forecastAt = now
     for (const state of [...this._jobs.values()]) {
@@ -364,35 +364,35 @@
       else if (!state.isHandedOver) this._reopenExpired(state, now)
     }
     this._advanceBlocked(now)
-    this._refuseHopeless(now)
+    this._refuseMissedDeadlines(now)
   }
 
-  /** Refuses what would not be done before its caller leaves, as soon as that can be seen: its work would be lost. */
-  private _refuseHopeless (now: number): void {
-    const forecasts = this._order.forecast(this._jobs.values(), this._pool.computeCapacities(now), now)
+  /** Refuses jobs as soon as the forecast shows that they miss their deadline: any further work on them would be wasted. */
+  private _refuseMissedDeadlines (now: number): void {
+    const forecasts = this._jobOrder.forecast(this._jobs.values(), this._pool.computeCapacities(now), now)
     for (const forecast of forecasts) {
       const { state } = forecast
       state.isLate = forecast.isLate
-      const isHopeless = forecast.endAt > state.deadlineAt && !state.hasBegun
-      const isOver = now + this._order.estimateRemaining(state, now) > state.deadlineAt
-      if (isHopeless || isOver) this._refuse(state, { reason: 'overloaded', retryAfterMs: computeRetryAfter(forecast, state.deadlineAt) })
+      const isUnstartedAndLate = forecast.endAt > state.deadlineAt && !state.isStarted
+      const isInfeasible = now + this._jobOrder.estimateRemaining(state, now) > state.deadlineAt
+      if (isUnstartedAndLate || isInfeasible) this._refuse(state, { reason: 'overloaded', retryAfterMs: computeRetryAfterMs(forecast, state.deadlineAt) })
     }
   }
 
-  /** Results that lie too long go; what still needs them has them made again. */
+  /** Frees results that are about to exceed their lifetime, and schedules their pieces again. */
   private _reopenExpired (state: JobState, now: number): void {
-    this._results.reopenLost(state, (result, piece) => {
+    this._jobResults.reopenLost(state, (result, piece) => {
       const lifetimeMs = this._upstreams.get(result.upstreamId)?.work.resultLifetimeMs ?? 0
-      return now - piece.madeAt > lifetimeMs - LIFETIME_MARGIN_MS
+      return now - piece.computedAt > lifetimeMs - LIFETIME_MARGIN_MS
     })
   }
 
   private _refuse (state: JobState, refusal: JobRefusal): void {
-    if (!state.isHandedOver) this._news.push({ kind: 'refused', jobId: state.job.id, refusal })
+    if (!state.isHandedOver) this._updates.push({ kind: 'refused', jobId: state.job.id, refusal })
     this.releaseJob(state.job.id)
   }
 
-  private _holds (state: JobState): boolean {
+  private _hasJob (state: JobState): boolean {
     return this._jobs.get(state.job.id) === state
   }
 }
--- a/src/services/preparation/common/preparationService.ts
+++ b/src/services/preparation/common/preparationService.ts
@@ -1,34 +1,34 @@
 /**
- * What the relay asks of preparation.
+ * Interface through which the relay has the inputs of requests prepared.
  */
 import type { Either } from 'purify-ts'
 import type { TargetReport } from './targetPlanner.ts'
 import type { JobRefusal, PreparationJob } from './preparationJob.ts'
 
-/** Results that are held for a request until they are released. */
+/** Results that stay stored for a request until they are released. */
 export interface IPreparedInputs {
   /** In the order of stages and pieces. */
   readonly handles: readonly string[]
   readonly bytes: number
   readonly isReleased: boolean
-  /** The upstream that should take the request; empty when any may. */
+  /** The upstream that should run the request; empty for any. */
   readonly targetId: string
-  /** The upstream that the target should take the beginning of the prompt from; empty when there is none. */
+  /** The upstream that the target should fetch the cached prefix from; empty if there is none. */
   readonly prefixSourceId: string
-  /** The hall that most of the results are in. */
+  /** The hall that holds most of the results. */
   readonly hall: string
-  /** Tells how the request fared at the target. */
+  /** Reports the outcome of the request at its target. */
   report (report: TargetReport): void
-  /** Gives the results back; nobody may use them afterwards. */
+  /** Frees the results; they must not be used afterwards. */
   release (): void
-  /** Makes results anew that were released or that an upstream no longer holds. */
+  /** Recomputes results that were released or that an upstream no longer holds. */
   prepareAgain (): Promise<Either<JobRefusal, IPreparedInputs>>
 }
 
-/** An upstream that may have ended while it made pieces of a job. */
+/** An upstream that may have crashed while it ran pieces of a job. */
 export interface LostPieces {
   readonly upstreamId: string
-  /** Both on this process's clock, in milliseconds. */
+  /** Both times are on the clock of this process, in milliseconds. */
   readonly sentAt: number
   readonly endedAt: number
 }
@@ -37,8 +37,8 @@
 
 export interface IPreparationService {
   /**
-   * Makes the results that a request needs; an abort gives everything back. Of each upstream that was lost over it, the
-   * listener is told before the result is there.
+   * Computes the results that a request needs; an abort frees all of them. The listener is notified of each upstream that may
+   * have crashed in the process, before the promise resolves.
    */
   prepare (job: PreparationJob, signal: AbortSignal, onDidLose?: LostPiecesListener): Promise<Either<JobRefusal, IPreparedInputs>>
 }
--- a/src/services/preparation/common/readyPiece.ts
+++ b/src/services/preparation/common/readyPiece.ts
@@ -1,5 +1,5 @@
 /**
- * Pieces that could start now, and how many of them go into one call.
+ * Selects the pieces that are ready to run, and batches them into calls.
  */
 import type { JobState } from './jobState.ts'
 import type { PieceState } from './pieceState.ts'
@@ -7,7 +7,6 @@
 import type { JobNews, LostCall, PlannedPiece } from './plannedCall.ts'
 import type { MadePiece } from './preparationJob.ts'
 
-/** One piece of one job. */
 export interface PieceKey {
   readonly state: JobState
   readonly stage: number
@@ -16,22 +15,22 @@
 
 export interface ReadyPiece extends PieceKey {
   readonly bytes: number
-  /** It may be what ended an upstream: whatever is called together with it may be lost, and be suspected as well. */
+  /** It may have crashed an upstream. Pieces of other jobs in the same call could be lost with it and become suspects too. */
   readonly isSuspect: boolean
 }
 
-/** A batch holds at least as many pieces as take this part of what the call itself costs, if so many wait. */
-const MIN_FILL_SHARE = 0.5
+/** Minimum work in a batch, as a share of the fixed cost of a call, as long as enough pieces are waiting. */
+const MIN_FILL_RATIO = 0.5
 
-/** The state of a piece that is known to exist. */
+/** Returns the state of a piece; throws if there is none. */
 export function getPiece ({ state, stage, index }: PieceKey): PieceState {
   const piece = state.pieces[stage]?.[index]
   if (piece === undefined) throw new Error(`no piece ${stage}/${index}`)
   return piece
 }
 
-/** What the owners of unfinished jobs are told, so that they know what lies where and their jobs survive this plan. */
-export function listMadeNews (pieces: readonly PieceKey[]): readonly JobNews[] {
+/** Tells owners of unfinished jobs which upstream holds which result, so that their jobs can continue if this plan is lost. */
+export function createComputedUpdates (pieces: readonly PieceKey[]): readonly JobNews[] {
   const byJob = new Map<string, MadePiece[]>()
   for (const key of pieces) {
     const { status, result } = getPiece(key)
@@ -41,58 +40,56 @@
   return [...byJob].map(([jobId, made]) => ({ kind: 'made', jobId, pieces: made }))
 }
 
-/** What the owners of all jobs in a call that was cut off are told: what they know of the request tells whose doing it is. */
-export function listLostNews (pieces: readonly PieceKey[], call: Pick<LostCall, 'upstreamId' | 'sentBeforeMs'>): readonly JobNews[] {
+/** Reports a possible crash to the owners of all jobs in the call: they know the request, and decide whether it is to blame. */
+export function createLostUpdates (pieces: readonly PieceKey[], call: Pick<LostCall, 'upstreamId' | 'sentBeforeMs'>): readonly JobNews[] {
   const jobIds = new Set(pieces.map(piece => piece.state.job.id))
   return [...jobIds].map(jobId => ({ kind: 'lost', jobId, ...call }))
 }
 
 /**
- * The pieces of a stage that could be started. Of those whose calls were cut off, none while another such piece of the
- * job is being made: made at the same time, each of them could end an upstream.
+ * Returns the pieces of a stage that are waiting. Of pieces that may have crashed an upstream, a job runs only one at a
+ * time: running at once, each could crash another upstream.
  */
-export function listWaiting (state: JobState, stage: number, bytes: number): readonly ReadyPiece[] {
-  const isOneCut = state.isMakingCut
+export function listReadyPieces (state: JobState, stage: number, bytes: number): readonly ReadyPiece[] {
+  const isSuspectRunning = state.isRunningCrashSuspect
   return (state.pieces[stage] ?? []).flatMap((piece, index) => {
-    if (piece.status !== 'waiting' || (isOneCut && piece.cuts > 0)) return []
-    return [{ state, stage, index, bytes, isSuspect: piece.cuts > 0 || state.job.isSuspect === true }]
+    if (piece.status !== 'waiting' || (isSuspectRunning && piece.possibleCrashes > 0)) return []
+    return [{ state, stage, index, bytes, isSuspect: piece.possibleCrashes > 0 || state.job.isSuspect === true }]
   })
 }
 
-/** Whether two pieces may go into one call. */
-function mayGoTogether (a: ReadyPiece, b: ReadyPiece): boolean {
+function canShareCall (a: ReadyPiece, b: ReadyPiece): boolean {
   return a.state === b.state || (!a.isSuspect && !b.isSuspect)
 }
 
-/** What may still start in other calls beside one with these pieces. */
-export function listStartableBeside (chosen: readonly ReadyPiece[], rest: readonly ReadyPiece[]): readonly ReadyPiece[] {
-  const taken = new Set(chosen)
-  const cutJobs = new Set(chosen.filter(piece => getPiece(piece).cuts > 0).map(piece => piece.state))
-  return rest.filter(piece => !taken.has(piece) && !(cutJobs.has(piece.state) && getPiece(piece).cuts > 0))
+/** Returns the pieces that may start in other calls while one with the chosen pieces is running. */
+export function listStartableInParallel (chosen: readonly ReadyPiece[], rest: readonly ReadyPiece[]): readonly ReadyPiece[] {
+  const chosenPieces = new Set(chosen)
+  const crashSuspectJobs = new Set(chosen.filter(piece => getPiece(piece).possibleCrashes > 0).map(piece => piece.state))
+  return rest.filter(piece => !chosenPieces.has(piece) && !(crashSuspectJobs.has(piece.state) && getPiece(piece).possibleCrashes > 0))
 }
 
-/** Spreads what waits over the upstreams that are idle, but not so thin that the calls themselves cost most. */
-export function computeBatchSize (upstream: PieceUpstream, waiting: number, idleCount: number): number {
+/** Distributes waiting pieces over the available upstreams, but keeps batches large enough to outweigh the fixed cost of a call. */
+export function computeBatchSize (upstream: PieceUpstream, waiting: number, availableCount: number): number {
   const { work } = upstream
-  const minFill = Math.ceil(work.callMs / Math.max(1, work.pieceMs) * MIN_FILL_SHARE)
-  return Math.min(work.maxPiecesPerCall, Math.max(minFill, Math.ceil(waiting / idleCount)))
+  const minFill = Math.ceil(work.callMs / Math.max(1, work.pieceMs) * MIN_FILL_RATIO)
+  return Math.min(work.maxPiecesPerCall, Math.max(minFill, Math.ceil(waiting / availableCount)))
 }
 
-/** Takes the first pieces that may go together and for which the upstream has room. */
-export function takeBatch (pieces: readonly ReadyPiece[], upstream: PieceUpstream, size: number, now: number): readonly ReadyPiece[] {
+/** Selects the first pieces that can share a call and for whose results the upstream has room. */
+export function selectBatch (pieces: readonly ReadyPiece[], upstream: PieceUpstream, size: number, now: number): readonly ReadyPiece[] {
   let freeBytes = upstream.getFreeBytes(now)
   const chosen: ReadyPiece[] = []
   for (const piece of pieces) {
     if (chosen.length >= size) break
     const [first] = chosen
-    if (piece.bytes > freeBytes || (first !== undefined && !mayGoTogether(first, piece))) continue
+    if (piece.bytes > freeBytes || (first !== undefined && !canShareCall(first, piece))) continue
     chosen.push(piece)
     freeBytes -= piece.bytes
   }
   return chosen
 }
 
-/** A piece as its upstream is asked for it. */
 export function createPlannedPiece ({ state, stage, index }: ReadyPiece, now: number): PlannedPiece {
   const inputs = state.listInputs(stage).map(result => result.handle)
   return {
--- a/src/services/preparation/common/releaseDelay.ts
+++ b/src/services/preparation/common/releaseDelay.ts
@@ -1,16 +1,16 @@
 /**
- * How long results are held after the request that takes them was sent. Upstreams fetch their inputs when a request
- * arrives, long before its first event, and room for results is scarce; nothing tells when the fetch is over. So the
- * delay follows the size, and grows when an upstream finds results gone.
+ * Computes how long results are kept after the request that uses them was sent. Upstreams fetch inputs when a request
+ * arrives, long before its first event, and do not report the end of the fetch; keeping results until the first event would
+ * waste scarce room. The delay is therefore derived from the size, and increases if an upstream finds inputs missing.
  */
 
 const BASE_MS = 40
-/** Below what links between upstreams carry. */
+/** Lower than the bandwidth of links between upstreams. */
 const BYTES_PER_MS = 250_000
-const GROWTH = 3
+const GROWTH_FACTOR = 3
 const MAX_FACTOR = 30
-/** After so many requests without a miss the delay is back to half. */
-const DECAY = 0.5 ** (1 / 200)
+/** Halves the factor after 200 requests without missing inputs. */
+const DECAY_PER_REQUEST = 0.5 ** (1 / 200)
 
 export class ReleaseDelay {
   private _factor = 1
@@ -19,13 +19,13 @@
     return (BASE_MS + bytes / BYTES_PER_MS) * this._factor
   }
 
-  /** A request had its inputs. */
+  /** Records that a request found its inputs. */
   noteTaken (): void {
-    this._factor = Math.max(1, this._factor * DECAY)
+    this._factor = Math.max(1, this._factor * DECAY_PER_REQUEST)
   }
 
-  /** An upstream did not find inputs that were released. */
+  /** Records that an upstream did not find inputs that were already released. */
   noteMissing (): void {
-    this._factor = Math.min(MAX_FACTOR, this._factor * GROWTH)
+    this._factor = Math.min(MAX_FACTOR, this._factor * GROWTH_FACTOR)
   }
 }
--- a/src/services/preparation/common/resultHalls.ts
+++ b/src/services/preparation/common/resultHalls.ts
@@ -1,13 +1,13 @@
 /**
- * Where the results lie that a request takes.
+ * Finds the halls that hold the results for a request.
  */
 import type { JobState } from './jobState.ts'
 import type { PieceResult } from './preparationJob.ts'
 
-/** The hall of an upstream, if it is known. */
+/** Returns the hall of an upstream; undefined if the upstream is unknown. */
 export type FindHall = (upstreamId: string) => string | undefined
 
-/** Bytes of a request's results that are made already, by hall. */
+/** Sums the bytes of the computed results that the request needs, by hall. */
 export function sumBytesByHall (state: JobState, findHall: FindHall): ReadonlyMap<string, number> {
   const sums = new Map<string, number>()
   for (const stage of state.lastStages) {
@@ -20,7 +20,7 @@
   return sums
 }
 
-/** The hall that most of the results are in. */
+/** Returns the hall that holds most of the results. */
 export function findMainHall (results: readonly PieceResult[], findHall: FindHall): string {
   const counts = new Map<string, number>()
   for (const { upstreamId } of results) {
--- a/src/services/preparation/common/roleRate.ts
+++ b/src/services/preparation/common/roleRate.ts
@@ -1,26 +1,26 @@
 /**
- * How fast the upstreams of one role get through a backlog, as observed. What the configuration says of calls and pieces
- * promises a third more than is reached: calls are not full, room is short, and pieces wait for their hall.
+ * Measures the throughput of the upstreams of one role during a backlog. The nominal throughput from the configuration is
+ * a third higher than what is reached in practice: calls are not full, room is limited, and pieces wait for their hall.
  */
 import { computeCallMs, computePieceCost } from './pieceUpstream.ts'
 import type { PieceWorkSpec } from './pieceUpstream.ts'
 
-/** What was observed this long ago counts half: bursts last some seconds. */
+/** Half-life of observations, in view of bursts that last a few seconds. */
 const HALF_LIFE_MS = 1000
-/** What the configuration says counts like an observation of this length. */
+/** The nominal throughput is weighted like an observation over this time. */
 const PRIOR_MS = 400
 
 export class RoleRate {
   private _observedAt = 0
   private _backlogMs = 0
-  private _madePieces = 0
+  private _completedPieces = 0
   /** By rank. */
   private readonly _arrivedPieces = new Map<number, number>()
   private _callMs = 0
   private _calls = 0
   private _hasBacklog = false
 
-  /** From now on, pieces wait that no upstream takes, or none do. */
+  /** Sets whether pieces are waiting that no upstream has capacity for. */
   setBacklog (hasBacklog: boolean, now: number): void {
     this._advance(now)
     this._hasBacklog = hasBacklog
@@ -31,27 +31,27 @@
     this._arrivedPieces.set(rank, (this._arrivedPieces.get(rank) ?? 0) + pieces)
   }
 
-  recordCall (madePieces: number, tookMs: number, now: number): void {
+  recordCall (computedPieces: number, tookMs: number, now: number): void {
     this._advance(now)
-    if (this._hasBacklog) this._madePieces += madePieces
+    if (this._hasBacklog) this._completedPieces += computedPieces
     this._callMs += tookMs
     this._calls++
   }
 
-  /** Pieces made in a millisecond while others wait. */
+  /** Returns the throughput in pieces per millisecond during a backlog. */
   computePiecesPerMs (work: PieceWorkSpec, calls: number, now: number): number {
     this._advance(now)
-    const promised = calls / computePieceCost(work)
-    return (this._madePieces + promised * PRIOR_MS) / (this._backlogMs + PRIOR_MS)
+    const nominalPiecesPerMs = calls / computePieceCost(work)
+    return (this._completedPieces + nominalPiecesPerMs * PRIOR_MS) / (this._backlogMs + PRIOR_MS)
   }
 
-  /** Pieces that were asked for in a millisecond, by rank. */
+  /** Returns the arrival rate in pieces per millisecond, by rank. */
   computeArrivalsPerMs (now: number): ReadonlyMap<number, number> {
     this._advance(now)
     return new Map([...this._arrivedPieces].map(([rank, pieces]) => [rank, pieces * Math.LN2 / HALF_LIFE_MS]))
   }
 
-  /** How long a call takes, together with others' pieces. */
+  /** Returns the usual duration of a call, which may contain pieces of other jobs. */
   computeUsualCallMs (work: PieceWorkSpec, pieceCount: number, now: number): number {
     this._advance(now)
     const alone = computeCallMs(work, Math.min(pieceCount, work.maxPiecesPerCall))
@@ -62,11 +62,11 @@
     const elapsedMs = Math.max(0, now - this._observedAt)
     if (elapsedMs === 0) return
     this._observedAt = now
-    const kept = 0.5 ** (elapsedMs / HALF_LIFE_MS)
-    this._backlogMs = this._backlogMs * kept + (this._hasBacklog ? elapsedMs : 0)
-    this._madePieces *= kept
-    for (const [rank, pieces] of this._arrivedPieces) this._arrivedPieces.set(rank, pieces * kept)
-    this._callMs *= kept
-    this._calls *= kept
+    const decay = 0.5 ** (elapsedMs / HALF_LIFE_MS)
+    this._backlogMs = this._backlogMs * decay + (this._hasBacklog ? elapsedMs : 0)
+    this._completedPieces *= decay
+    for (const [rank, pieces] of this._arrivedPieces) this._arrivedPieces.set(rank, pieces * decay)
+    this._callMs *= decay
+    this._calls *= decay
   }
 }
