--- a/src/services/preparation/node/coordinatorLink.ts
+++ b/src/services/preparation/node/coordinatorLink.ts
@@ -22,44 +22,44 @@
 
 export type QuotaAnswer = PreparationMessage & { readonly kind: 'quotaAnswered' }
 
-const NEWS_KINDS: ReadonlySet<string> = new Set<JobNews['kind']>(['prepared', 'refused', 'declined', 'made', 'lost', 'moved'])
+const JOB_UPDATE_KINDS: ReadonlySet<string> = new Set<JobNews['kind']>(['prepared', 'refused', 'declined', 'made', 'lost', 'moved'])
 
-function isNews (message: PreparationMessage): message is PreparationMessage & JobNews {
-  return NEWS_KINDS.has(message.kind)
+function isJobUpdate (message: PreparationMessage): message is PreparationMessage & JobNews {
+  return JOB_UPDATE_KINDS.has(message.kind)
 }
 
 const DIAL_TIMEOUT_MS = 250
 const PING_PERIOD_MS = 150
-/** A link that is silent for so long is given up; its jobs may go elsewhere, which is always allowed. */
-const SILENCE_MS = 600
+/** A link that receives nothing for this time is closed. Its jobs may then move, which is always safe. */
+const SILENCE_TIMEOUT_MS = 600
 
 export class CoordinatorLink extends Disposable {
-  private readonly _onDidReceive = this._register(new Emitter<JobNews>())
-  private readonly _onDidAnswerQuota = this._register(new Emitter<QuotaAnswer>())
+  private readonly _onDidReceiveUpdate = this._register(new Emitter<JobNews>())
+  private readonly _onDidReceiveQuotaAnswer = this._register(new Emitter<QuotaAnswer>())
   private readonly _onDidClose = this._register(new Emitter<void>())
-  readonly onDidReceive = this._onDidReceive.event
-  readonly onDidAnswerQuota = this._onDidAnswerQuota.event
+  readonly onDidReceiveUpdate = this._onDidReceiveUpdate.event
+  readonly onDidAnswerQuota = this._onDidReceiveQuotaAnswer.event
   readonly onDidClose = this._onDidClose.event
   private readonly _connection: FrameConnection
-  private _heardAt: number
+  private _lastReceivedAt: number
   private _isClosed = false
-  private _wasHeard = false
-  private _wentSilent = false
-  private readonly _toldHalls = new Set<string>()
-  /** Jobs that wait for news; without any, and without questions, the other side is not asked whether it lives. */
-  openJobs = 0
-  private _openQuestions = 0
+  private _hasReceived = false
+  private _hasTimedOut = false
+  private readonly _hallsWithSentPrefixes = new Set<string>()
+  /** Jobs that wait for updates. Liveness is checked only while there are such jobs or unanswered quota requests. */
+  openJobCount = 0
+  private _openQuotaRequestCount = 0
 
   private constructor (readonly address: string, socket: Socket, private readonly _clock: IClock) {
     super()
-    this._heardAt = _clock.now()
+    this._lastReceivedAt = _clock.now()
     this._connection = this._register(new FrameConnection(socket))
-    this._connection.onDidReceive(frame => this._take(frame))
+    this._connection.onDidReceive(frame => this._receive(frame))
     this._connection.onDidClose(() => this._close())
-    this._register(startInterval(PING_PERIOD_MS, () => this._ping()))
+    this._register(startInterval(PING_PERIOD_MS, () => this._checkLiveness()))
   }
 
-  /** Undefined when the coordinator cannot be reached in time. */
+  /** Resolves with undefined if the coordinator cannot be reached in time. */
   static open (options: CoordinatorLinkOptions): Promise<CoordinatorLink | undefined> {
     const address = parseAddress(options.address)
     if (address === undefined) return Promise.resolve(undefined)
@@ -80,10 +80,13 @@
     })
   }
 
-  /** Once for each hall: a coordinator that is reached anew may have begun to plan. */
-  mayTellPrefixes (hall: string): boolean {
-    const isNew = !this._toldHalls.has(hall)
-    this._toldHalls.add(hall)
+  /**
+   * Returns true only at the first call for a hall on this link. Prefixes are sent once per link, because the
+   * coordinator at a new link may have just started to plan.
+   */
+  markPrefixesSent (hall: string): boolean {
+    const isNew = !this._hallsWithSentPrefixes.has(hall)
+    this._hallsWithSentPrefixes.add(hall)
     return isNew
   }
 
@@ -91,18 +94,21 @@
     return this._isClosed
   }
 
-  /** Answers came before the silence, so that it may be the connection's alone and not the coordinator's. */
-  get wentSilent (): boolean {
-    return this._wentSilent && this._wasHeard
+  /**
+   * Whether the link was closed for silence after it had received frames. In that case the connection alone may have
+   * failed, and not the coordinator.
+   */
+  get hasStalled (): boolean {
+    return this._hasTimedOut && this._hasReceived
   }
 
   send (message: PreparationMessage): void {
     this._connection.send(message)
   }
 
-  /** Asks for one request at an upstream. Without an answer it is found out whether the other side lives. */
+  /** Asks for permission to send one request to an upstream. Liveness is checked until the answer arrives. */
   askQuota (id: number, upstreamId: string, limit: ToldLimit | undefined): void {
-    this._openQuestions++
+    this._openQuotaRequestCount++
     this.send({ kind: 'quotaWanted', id, upstreamId, limit })
   }
 
@@ -111,33 +117,33 @@
     this._close()
   }
 
-  private _take (frame: unknown): void {
-    this._heardAt = this._clock.now()
-    this._wasHeard = true
+  private _receive (frame: unknown): void {
+    this._lastReceivedAt = this._clock.now()
+    this._hasReceived = true
     checkPreparationMessage(frame).caseOf({
-      // What a newer coordinator says beside the rest is skipped.
+      // Kinds of messages that only newer coordinators send are ignored.
       Left: error => { if (error.resultName !== 'messageUnknown') this.close() },
       Right: message => {
-        if (isNews(message)) this._onDidReceive.fire(message)
-        else if (message.kind === 'quotaAnswered') this._takeAnswer(message)
+        if (isJobUpdate(message)) this._onDidReceiveUpdate.fire(message)
+        else if (message.kind === 'quotaAnswered') this._receiveQuotaAnswer(message)
       }
     })
   }
 
-  private _takeAnswer (answer: QuotaAnswer): void {
-    this._openQuestions--
-    this._onDidAnswerQuota.fire(answer)
+  private _receiveQuotaAnswer (answer: QuotaAnswer): void {
+    this._openQuotaRequestCount--
+    this._onDidReceiveQuotaAnswer.fire(answer)
   }
 
-  private _ping (): void {
-    const silentMs = this._clock.now() - this._heardAt
-    if (this.openJobs + this._openQuestions === 0) this._heardAt = this._clock.now()
-    else if (silentMs > SILENCE_MS) this._giveUp()
+  private _checkLiveness (): void {
+    const silentMs = this._clock.now() - this._lastReceivedAt
+    if (this.openJobCount + this._openQuotaRequestCount === 0) this._lastReceivedAt = this._clock.now()
+    else if (silentMs > SILENCE_TIMEOUT_MS) this._closeSilent()
     else if (silentMs > PING_PERIOD_MS) this.send({ kind: 'ping' })
   }
 
-  private _giveUp (): void {
-    this._wentSilent = true
+  private _closeSilent (): void {
+    this._hasTimedOut = true
     this.close()
   }
 
--- a/src/services/preparation/node/coordinatorLinks.ts
+++ b/src/services/preparation/node/coordinatorLinks.ts
@@ -1,5 +1,5 @@
 /**
- * A node's links to the coordinators of other nodes, one to each, opened when something is to be said.
+ * A node's links to the coordinators of other nodes, one for each coordinator, opened on first use.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
@@ -12,14 +12,14 @@
   readonly clock: IClock
   readonly log: ILogService
   readonly localAddress?: string
-  /** How a coordinator of another node is reached; undefined when it cannot be in time. */
+  /** Opens a link to a coordinator; resolves with undefined if it cannot be reached in time. */
   readonly openLink?: (options: CoordinatorLinkOptions) => Promise<CoordinatorLink | undefined>
 }
 
-/** A coordinator that could not be reached, or whose link broke. */
+/** A coordinator that could not be reached, or whose link was closed. */
 export interface LostCoordinator {
   readonly address: string
-  /** Undefined where none could be opened. */
+  /** Undefined if no link could be opened. */
   readonly link: CoordinatorLink | undefined
 }
 
@@ -37,10 +37,10 @@
     this._register(toDisposable(() => { for (const link of this._links.values()) void link.then(open => open?.close()) }))
   }
 
-  /** A link to the coordinator at the address; undefined when it cannot be reached in time. */
+  /** Returns the link to the coordinator at the address, opened if needed; undefined if it cannot be reached in time. */
   connect (address: string): Promise<CoordinatorLink | undefined> {
-    const held = this._links.get(address)
-    if (held !== undefined) return held
+    const existing = this._links.get(address)
+    if (existing !== undefined) return existing
     const opening = this._open(address)
     this._links.set(address, opening)
     return opening
@@ -50,16 +50,16 @@
     const { localAddress, clock, log, openLink = options => CoordinatorLink.open(options) } = this._options
     const link = await openLink({ address, localAddress, clock })
     if (link === undefined) {
-      this._lose({ address, link })
+      this._removeLink({ address, link })
       return undefined
     }
     log.info('coordinator_linked', { coordinator: address })
-    link.onDidClose(() => this._lose({ address, link }))
+    link.onDidClose(() => this._removeLink({ address, link }))
     this._onDidOpen.fire(link)
     return link
   }
 
-  private _lose (lost: LostCoordinator): void {
+  private _removeLink (lost: LostCoordinator): void {
     this._links.delete(lost.address)
     if (!this._isDisposed) this._onDidLose.fire(lost)
   }
--- a/src/services/preparation/node/openJob.ts
+++ b/src/services/preparation/node/openJob.ts
@@ -1,5 +1,6 @@
 /**
- * A job as its owner holds it: where it is, and what was made for it, so that another coordinator can go on.
+ * A job as its owner tracks it: which coordinator plans it, and which results it has, so that another coordinator can
+ * continue from these.
  */
 import type { CarriedPiece, MadePiece, PreparationJob } from '../common/preparationJob.ts'
 import type { JobEnd, LostCall } from '../common/plannedCall.ts'
@@ -7,54 +8,54 @@
 import { PlanSearch } from '../common/planSearch.ts'
 import type { CoordinatorLink } from './coordinatorLink.ts'
 
-export interface OpenJobOptions {
+export interface OwnedJobOptions {
   /** On the process's clock, in milliseconds. */
   readonly startedAt: number
-  readonly settle: (open: OpenJob, news: JobEnd) => void
+  readonly complete: (ownedJob: OwnedJob, update: JobEnd) => void
   readonly onDidLose?: LostPiecesListener
 }
 
-/** A job that its coordinator has not settled yet. */
-export class OpenJob {
+/** A job of this node, kept until its results are released. */
+export class OwnedJob {
   readonly startedAt: number
-  readonly settle: (news: JobEnd) => void
+  readonly complete: (update: JobEnd) => void
   readonly onDidLose: LostPiecesListener
-  /** An upstream was lost over its pieces. */
+  /** Whether an upstream was lost during a call with pieces of this job. */
   isSuspect = false
-  moves = 0
+  moveCount = 0
   readonly search = new PlanSearch()
-  /** Undefined for this node's own coordinator. */
+  /** Undefined if this node's own coordinator plans the job. */
   link: CoordinatorLink | undefined
-  private readonly _made = new Map<string, HeldPiece>()
+  private readonly _results = new Map<string, OwnedPiece>()
 
-  constructor (readonly job: PreparationJob, { startedAt, settle, onDidLose = () => {} }: OpenJobOptions) {
+  constructor (readonly job: PreparationJob, { startedAt, complete, onDidLose = () => {} }: OwnedJobOptions) {
     this.startedAt = startedAt
-    this.settle = news => settle(this, news)
+    this.complete = update => complete(this, update)
     this.onDidLose = onDidLose
   }
 
-  noteLost ({ upstreamId, sentBeforeMs }: LostCall, now: number): void {
+  recordLostCall ({ upstreamId, sentBeforeMs }: LostCall, now: number): void {
     this.isSuspect = true
     this.onDidLose({ upstreamId, sentAt: now - sentBeforeMs, endedAt: now })
   }
 
-  recordMade (pieces: readonly MadePiece[], now: number): void {
-    for (const piece of pieces) this._made.set(`${piece.stage}/${piece.index}`, { ...piece, madeAt: now })
+  recordResults (pieces: readonly MadePiece[], now: number): void {
+    for (const piece of pieces) this._results.set(`${piece.stage}/${piece.index}`, { ...piece, receivedAt: now })
   }
 
   get hasResults (): boolean {
-    return this._made.size > 0
+    return this._results.size > 0
   }
 
-  forgetMade (): void {
-    this._made.clear()
+  forgetResults (): void {
+    this._results.clear()
   }
 
-  listCarried (now: number): readonly CarriedPiece[] {
-    return [...this._made.values()].map(({ stage, index, result, madeAt }) => ({ stage, index, result, ageMs: now - madeAt }))
+  listCarriedPieces (now: number): readonly CarriedPiece[] {
+    return [...this._results.values()].map(({ stage, index, result, receivedAt: madeAt }) => ({ stage, index, result, ageMs: now - madeAt }))
   }
 }
 
-interface HeldPiece extends MadePiece {
-  readonly madeAt: number
+interface OwnedPiece extends MadePiece {
+  readonly receivedAt: number
 }
--- a/src/services/preparation/node/planLog.ts
+++ b/src/services/preparation/node/planLog.ts
@@ -1,5 +1,5 @@
 /**
- * What a coordinator writes of its calls and jobs: late and refused requests are explained from these lines.
+ * Writes log lines on the calls and jobs of a coordinator. They serve to explain late and refused requests.
  */
 import { formatPosition } from '../../feed/common/sourcePosition.ts'
 import type { ILogService } from '../../log/node/logger.ts'
@@ -8,12 +8,11 @@
 import type { JobDecline } from '../common/preparationJob.ts'
 import type { JobEnd, PieceCallOutcome, PlannedCall } from '../common/plannedCall.ts'
 
-/** How a call ended, and on what it was sent. */
-export interface EndedCall {
+export interface CompletedCall {
   readonly outcome: PieceCallOutcome
   readonly tookMs: number
-  /** How current the upstreams were that it was sent by. */
-  readonly known: PictureAge
+  /** Revision and age of the upstream registry when the call was sent. */
+  readonly registryAge: PictureAge
 }
 
 const BYTES_PER_KB = 1000
@@ -21,7 +20,7 @@
 export class PlanLog {
   constructor (private readonly _log: ILogService) {}
 
-  noteCall (call: PlannedCall, { outcome, tookMs, known }: EndedCall): void {
+  recordCall (call: PlannedCall, { outcome, tookMs, registryAge }: CompletedCall): void {
     const { id, upstreamId, role, pieces, leftWaiting, freeBytes, expectedMs } = call
     const outcomes = outcome.kind === 'answered' ? outcome.pieces : []
     const countFailed = (reason: string) => outcomes.filter(piece => piece.kind === 'failed' && piece.reason === reason).length
@@ -39,23 +38,23 @@
       late: countFailed('late'),
       expected_ms: Math.round(expectedMs),
       took_ms: Math.round(tookMs),
-      known_revision: formatPosition(known.revision),
-      known_age_ms: Math.round(known.ageMs)
+      known_revision: formatPosition(registryAge.revision),
+      known_age_ms: Math.round(registryAge.ageMs)
     })
   }
 
-  /** One line for each role of a plan. */
-  noteLoad (hall: string, { jobs, lateJobs, roles }: PlanLoad): void {
+  /** Writes one line for each role of a plan. */
+  recordLoad (hall: string, { jobs, lateJobs, roles }: PlanLoad): void {
     for (const { role, calls, runningCalls, openPieces, queueMs } of roles) {
       this._log.info('plan_load', { hall, role, jobs, late_jobs: lateJobs, calls: Number(calls.toFixed(1)), running_calls: runningCalls, open_pieces: openPieces, queue_ms: Math.round(queueMs) })
     }
   }
 
-  noteDeclined (hall: string, jobId: string, { endInMs }: JobDecline): void {
+  recordDeclined (hall: string, jobId: string, { endInMs }: JobDecline): void {
     this._log.info('preparation_declined', { request: jobId, hall, end_in_ms: Math.round(endInMs) })
   }
 
-  notePrepared ({ jobId, targetId, prefixSourceId, times }: JobEnd & { readonly kind: 'prepared' }): void {
+  recordPrepared ({ jobId, targetId, prefixSourceId, times }: JobEnd & { readonly kind: 'prepared' }): void {
     const { queuedMs, madeMs, betweenMs } = times
     this._log.info('preparation_done', { request: jobId, target: targetId, prefix_from: prefixSourceId, queued_ms: Math.round(queuedMs), made_ms: Math.round(madeMs), between_ms: Math.round(betweenMs) })
   }
--- a/src/services/preparation/node/planShard.ts
+++ b/src/services/preparation/node/planShard.ts
@@ -1,5 +1,5 @@
 /**
- * One plan of a coordinator, and the jobs that it holds for their owners.
+ * One plan of a coordinator, and the state that the coordinator keeps for each job.
  */
 import type { GenerationWork } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { LimitSource } from '../../quota/common/limitSource.ts'
@@ -10,36 +10,36 @@
 export interface PlanShardOptions {
   readonly registry: UpstreamRegistry
   readonly getTable: () => RelayTable | undefined
-  /** What upstreams accept; any number without it. */
+  /** The rate limits of upstreams; without it no upstream is limited. */
   readonly limits?: LimitSource
 }
 
-/** One plan: all upstreams, or those of one hall. */
+/** The plan for the upstreams of one hall, or for all upstreams if the hall is empty. */
 export class PlanShard {
   readonly planner: PreparationPlanner
-  isDispatching = false
-  isFreeing = false
+  isDispatchScheduled = false
+  isFreeScheduled = false
   loadLoggedAt = -Infinity
 
   constructor (readonly hall: string, { registry, getTable, limits }: PlanShardOptions) {
     this.planner = new PreparationPlanner(role => {
-      const msPerMovedToken = computeMoveMs(getTable()?.getRole(role)?.generationWork)
-      return registry.listRole(role).filter(entry => this.holds(entry)).map(entry => ({ id: entry.id, hall: entry.hall, msPerMovedToken, limit: limits?.find(entry) }))
+      const msPerMovedToken = computeTransferMsPerToken(getTable()?.getRole(role)?.generationWork)
+      return registry.listRole(role).filter(entry => this.isInScope(entry)).map(entry => ({ id: entry.id, hall: entry.hall, msPerMovedToken, limit: limits?.find(entry) }))
     }, (role, homeHalls) => registry.listRole(role).some(entry => homeHalls?.includes(entry.hall) !== false && limits?.find(entry) === undefined))
   }
 
-  holds (entry: UpstreamEntry): boolean {
+  isInScope (entry: UpstreamEntry): boolean {
     return this.hall === '' || this.hall === entry.hall
   }
 }
 
-/** How long it takes one upstream to take a token from another. */
-function computeMoveMs (work: GenerationWork | undefined): number {
+/** Time that an upstream needs to fetch the prefix cache of one token from another; Infinity if it cannot. */
+function computeTransferMsPerToken (work: GenerationWork | undefined): number {
   return work === undefined || work.tokenBytes <= 0 || work.linkBytesPerMs <= 0 ? Infinity : work.tokenBytes / work.linkBytesPerMs
 }
 
-/** A job that its owner has not let go of. */
-export class HeldJob {
+/** A job whose owner has not yet sent both its release and its report. */
+export class TrackedJob {
   isReleased = false
   isDetached = false
   isReported = false
--- a/src/services/preparation/node/preparationClient.ts
+++ b/src/services/preparation/node/preparationClient.ts
@@ -1,6 +1,6 @@
 /**
- * Has jobs done by the coordinator that all nodes choose, wherever it runs. When that one is lost, the jobs go to the
- * next: any piece may be made again, so two coordinators for a while cost only work.
+ * Submits jobs to the coordinator that all nodes choose, on whichever node it runs. When that coordinator is lost, the
+ * jobs move to the next one. Any piece may be computed again, so two coordinators at a time cost only extra work.
  */
 import { Left, Right } from 'purify-ts'
 import type { Either } from 'purify-ts'
@@ -23,7 +23,7 @@
 import type { CoordinatorLink, CoordinatorLinkOptions } from './coordinatorLink.ts'
 import { CoordinatorLinks } from './coordinatorLinks.ts'
 import type { LostCoordinator } from './coordinatorLinks.ts'
-import { OpenJob } from './openJob.ts'
+import { OwnedJob } from './openJob.ts'
 import type { PreparationCoordinator } from './preparationCoordinator.ts'
 
 export interface PreparationClientOptions {
@@ -32,115 +32,117 @@
   readonly protocol: PieceProtocol
   readonly registry: UpstreamRegistry
   readonly coordinator: PreparationCoordinator
-  /** Where the coordinator of this node is reached. */
+  /** The address of this node's own coordinator. */
   readonly address: string
   readonly localAddress?: string
-  /** Whether the live nodes are known: before, each node would coordinate its own jobs, in the room of the others. */
+  /**
+   * Whether the live nodes are known. Until then jobs wait: otherwise each node would coordinate its own jobs and fill
+   * result capacity that the plans of other nodes count as free.
+   */
   readonly hasMembers: () => boolean
   readonly onDidKnowMembers: Event<void>
-  /** The coordinators of all live nodes, this one's included. */
+  /** The coordinators of all live nodes, including this one. */
   readonly listCoordinators: () => readonly CoordinatorCandidate[]
-  /** All upstreams that make pieces. */
+  /** All upstreams that compute pieces. */
   readonly listPieceUpstreams: () => readonly PlannedUpstream[]
-  /** How a coordinator of another node is reached; undefined when it cannot be in time. */
+  /** Opens a link to a coordinator; resolves with undefined if it cannot be reached in time. */
   readonly openLink?: (options: CoordinatorLinkOptions) => Promise<CoordinatorLink | undefined>
-  /** Links that others use as well; the client has its own without them. */
+  /** Links that are shared with other services; without them the client opens its own. */
   readonly links?: CoordinatorLinks
 }
 
-/** How a job is kept. */
-interface JobTerms {
+interface JobContext {
   /** On the process's clock, in milliseconds. */
   readonly startedAt: number
   readonly signal: AbortSignal
   readonly onDidLose: LostPiecesListener | undefined
 }
 
-/** A coordinator that could not be reached is left alone for so long. */
-const AVOID_MS = 1500
+/** How long a coordinator that could not be reached, or that moved its jobs away, is not chosen. */
+const COORDINATOR_BACKOFF_MS = 1500
 const MAX_MOVES = 4
 
-/** The owner's own doing; it tells its caller itself. */
-const GIVEN_UP: JobRefusal = { reason: 'interrupted', retryAfterMs: 0 }
+/** The result after an abort by the owner, which answers its caller itself. */
+const ABORTED: JobRefusal = { reason: 'interrupted', retryAfterMs: 0 }
 
 export class PreparationClient extends Disposable implements IPreparationService {
   private readonly _options: PreparationClientOptions
-  private readonly _jobs = new Map<string, OpenJob>()
+  private readonly _jobs = new Map<string, OwnedJob>()
   private readonly _links: CoordinatorLinks
   private readonly _prefixes = new PrefixBook()
-  private readonly _avoidUntil = new Map<string, number>()
+  private readonly _backoffUntil = new Map<string, number>()
 
   constructor (options: PreparationClientOptions) {
     super()
     this._options = options
-    this._register(options.onDidKnowMembers(() => { for (const open of [...this._jobs.values()]) void this._submit(open) }))
+    this._register(options.onDidKnowMembers(() => { for (const ownedJob of [...this._jobs.values()]) void this._submit(ownedJob) }))
     const { clock, log, localAddress, openLink } = options
     this._links = options.links ?? this._register(new CoordinatorLinks({ clock, log, localAddress, openLink }))
-    this._register(this._links.onDidOpen(link => this._follow(link)))
-    this._register(this._links.onDidLose(lost => this._lose(lost)))
+    this._register(this._links.onDidOpen(link => this._subscribe(link)))
+    this._register(this._links.onDidLose(lost => this._handleLostCoordinator(lost)))
   }
 
-  /** The address of the coordinator that keeps a plan. */
+  /** Returns the address of the coordinator that is responsible for the plan of a hall. */
   findCoordinator (hall: string): string {
     const now = this._options.clock.now()
-    const usable = this._options.listCoordinators().filter(({ address }) => (this._avoidUntil.get(address) ?? 0) <= now)
+    const usable = this._options.listCoordinators().filter(({ address }) => (this._backoffUntil.get(address) ?? 0) <= now)
     return chooseCoordinator(usable, hall) ?? this._options.address
   }
 
-  /** Jobs that this node plans though another one should, which was not known when they came, go there. */
+  /** Moves jobs that this node plans although another node, which was unknown when they arrived, is responsible. */
   moveJobs (): void {
-    if (this._options.hasMembers()) this._options.coordinator.moveJobsOf(hall => this.findCoordinator(hall) !== this._options.address)
+    if (this._options.hasMembers()) this._options.coordinator.movePlans(hall => this.findCoordinator(hall) !== this._options.address)
   }
 
-  /** Whether another node could take over this one's plans. */
+  /** Whether another node could take over the plans of this node. */
   hasOtherCoordinator (): boolean {
     return this._options.listCoordinators().some(({ address }) => address !== this._options.address)
   }
 
   prepare (job: PreparationJob, signal: AbortSignal, onDidLose?: LostPiecesListener): Promise<Either<JobRefusal, IPreparedInputs>> {
-    return this._open(job, { startedAt: this._options.clock.now(), signal, onDidLose }, open => {
-      if (this._options.hasMembers()) void this._submit(open)
+    return this._track(job, { startedAt: this._options.clock.now(), signal, onDidLose }, ownedJob => {
+      if (this._options.hasMembers()) void this._submit(ownedJob)
     })
   }
 
-  /** Keeps a job until it is settled or its owner gives it up. */
-  private _open (job: PreparationJob, { startedAt, signal, onDidLose }: JobTerms, onDidOpen: (open: OpenJob) => void): Promise<Either<JobRefusal, IPreparedInputs>> {
+  /** Tracks a job until it ends or its owner aborts it. */
+  private _track (job: PreparationJob, { startedAt, signal, onDidLose }: JobContext, onDidTrack: (ownedJob: OwnedJob) => void): Promise<Either<JobRefusal, IPreparedInputs>> {
     return new Promise(resolve => {
-      if (signal.aborted) return resolve(Left(GIVEN_UP))
+      if (signal.aborted) return resolve(Left(ABORTED))
       const onAbort = () => {
-        this._giveBack(open)
-        resolve(Left(GIVEN_UP))
+        this._releaseJob(ownedJob)
+        resolve(Left(ABORTED))
       }
-      const settle = (settled: OpenJob, news: JobEnd) => {
+      const complete = (completed: OwnedJob, update: JobEnd) => {
         signal.removeEventListener('abort', onAbort)
-        resolve(this._createOutcome(settled, news, signal))
+        resolve(this._createOutcome(completed, update, signal))
       }
-      const open = new OpenJob(job, { startedAt, settle, onDidLose })
+      const ownedJob = new OwnedJob(job, { startedAt, complete, onDidLose })
       signal.addEventListener('abort', onAbort, { once: true })
-      this._jobs.set(job.id, open)
-      onDidOpen(open)
+      this._jobs.set(job.id, ownedJob)
+      onDidTrack(ownedJob)
     })
   }
 
-  private async _submit (open: OpenJob): Promise<void> {
-    const { hall, isOffer } = open.search.choose(this._listPlans(open), open.hasResults)
+  private async _submit (ownedJob: OwnedJob): Promise<void> {
+    const { hall, isOffer } = ownedJob.search.choose(this._listJobPlans(ownedJob), ownedJob.hasResults)
     const address = this.findCoordinator(hall)
     if (address === this._options.address) {
-      open.link = undefined
-      this._pushPrefixes(hall)
-      return this._options.coordinator.submit({ job: this._updateTimes(open), hall, isOffer, carried: this._listCarried(open) }, news => this._take(open, news))
+      ownedJob.link = undefined
+      this._addOwnPrefixes(hall)
+      return this._options.coordinator.submit({ job: this._createSubmission(ownedJob), hall, isOffer, carried: this._listCarriedPieces(ownedJob) }, update => this._handleUpdate(ownedJob, update))
     }
     const link = await this._links.connect(address)
-    if (this._jobs.get(open.job.id) !== open) return
-    if (link === undefined || link.isClosed) return this._move(open)
-    open.link = link
-    link.openJobs++
-    if (link.mayTellPrefixes(hall)) link.send({ kind: 'prefixes', hall, notes: this._listPrefixes() })
-    link.send({ kind: 'job', job: this._updateTimes(open), hall, isOffer, carried: this._listCarried(open) })
+    if (this._jobs.get(ownedJob.job.id) !== ownedJob) return
+    if (link === undefined || link.isClosed) return this._moveJob(ownedJob)
+    ownedJob.link = link
+    link.openJobCount++
+    if (link.markPrefixesSent(hall)) link.send({ kind: 'prefixes', hall, notes: this._listPrefixes() })
+    link.send({ kind: 'job', job: this._createSubmission(ownedJob), hall, isOffer, carried: this._listCarriedPieces(ownedJob) })
   }
 
-  /** When this node begins to plan for a hall, it knows what its own prompts were sent to. */
-  private _pushPrefixes (hall: string): void {
+  /** A plan that this node is about to start gets the records of where this node's own prompts were processed. */
+  private _addOwnPrefixes (hall: string): void {
     if (this._options.coordinator.hasPlan(hall)) return
     this._options.coordinator.addPrefixes(hall, this._listPrefixes())
   }
@@ -149,104 +151,106 @@
     return this._prefixes.list(MAX_PREFIX_NOTES, this._options.clock.now())
   }
 
-  private _listCarried (open: OpenJob): readonly CarriedPiece[] {
-    return open.listCarried(this._options.clock.now())
+  private _listCarriedPieces (ownedJob: OwnedJob): readonly CarriedPiece[] {
+    return ownedJob.listCarriedPieces(this._options.clock.now())
   }
 
-  /** Jobs with the same shared parts go to the same plan, which knows where these were read. */
-  private _listPlans (open: OpenJob): readonly string[] {
-    const { job } = open
+  /** Jobs with the same shared prefix go to the same plan, which tracks the upstreams that have processed it. */
+  private _listJobPlans (ownedJob: OwnedJob): readonly string[] {
+    const { job } = ownedJob
     const upstreams = this._options.listPieceUpstreams()
     const key = job.request.shared.at(-1)?.key ?? job.id
     return job.homeHalls === undefined ? listPlans(upstreams, key) : listHomePlans(upstreams, key, job.homeHalls)
   }
 
-  /** A plan that has no room or no upstreams, or would be late, may have a neighbour that is better off. */
-  private _take (open: OpenJob, news: JobNews): void {
-    if (this._jobs.get(open.job.id) !== open) return
-    if (news.kind === 'made') return open.recordMade(news.pieces, this._options.clock.now())
-    if (news.kind === 'lost') return open.noteLost(news, this._options.clock.now())
-    if (news.kind === 'moved') return this._leave(open)
-    // Whoever refuses a job gives its results back.
-    open.forgetMade()
-    if (news.kind === 'prepared') return this._settle(open, news)
-    if (news.kind === 'declined') open.search.noteDeclined(news.endInMs)
-    else if (!this._mayAskOthers(open, news.refusal)) return this._settle(open, news)
-    if (open.link !== undefined) open.link.openJobs--
-    void this._submit(open)
+  /** If a plan lacks capacity or upstreams, or would finish late, the job is submitted to another plan. */
+  private _handleUpdate (ownedJob: OwnedJob, update: JobNews): void {
+    if (this._jobs.get(ownedJob.job.id) !== ownedJob) return
+    if (update.kind === 'made') return ownedJob.recordResults(update.pieces, this._options.clock.now())
+    if (update.kind === 'lost') return ownedJob.recordLostCall(update, this._options.clock.now())
+    if (update.kind === 'moved') return this._handleMoved(ownedJob)
+    // A coordinator that refuses a job frees its results.
+    ownedJob.forgetResults()
+    if (update.kind === 'prepared') return this._complete(ownedJob, update)
+    if (update.kind === 'declined') ownedJob.search.noteDeclined(update.endInMs)
+    else if (!this._recordRefusal(ownedJob, update.refusal)) return this._complete(ownedJob, update)
+    if (ownedJob.link !== undefined) ownedJob.link.openJobCount--
+    void this._submit(ownedJob)
   }
 
-  private _mayAskOthers (open: OpenJob, { reason }: JobRefusal): boolean {
+  /** Returns whether the job may be submitted to another plan. */
+  private _recordRefusal (ownedJob: OwnedJob, { reason }: JobRefusal): boolean {
     if (reason === 'tooLate') return false
-    if (reason !== 'noUpstream' || open.search.asked?.isOffer !== true) return open.search.noteRefused(this._listPlans(open))
-    open.search.noteDeclined(Infinity)
+    if (reason !== 'noUpstream' || ownedJob.search.asked?.isOffer !== true) return ownedJob.search.noteRefused(this._listJobPlans(ownedJob))
+    ownedJob.search.noteDeclined(Infinity)
     return true
   }
 
-  /** Times in a job count from when it is submitted. */
-  private _updateTimes (open: OpenJob): PreparationJob {
-    const elapsedMs = this._options.clock.now() - open.startedAt
-    const { job } = open
+  /** Returns the job with its remaining times: a coordinator counts them from the submission. */
+  private _createSubmission (ownedJob: OwnedJob): PreparationJob {
+    const elapsedMs = this._options.clock.now() - ownedJob.startedAt
+    const { job } = ownedJob
     return {
       ...job,
       goalInMs: Math.max(0, job.goalInMs - elapsedMs),
       deadlineInMs: Math.max(0, job.deadlineInMs - elapsedMs),
-      isSuspect: open.isSuspect || job.isSuspect === true
+      isSuspect: ownedJob.isSuspect || job.isSuspect === true
     }
   }
 
-  /** The coordinator ends, and says so: the next one takes the job, and every later one. */
-  private _leave (open: OpenJob): void {
-    const { link } = open
-    this._avoidUntil.set(link?.address ?? this._options.address, this._options.clock.now() + AVOID_MS)
-    if (link !== undefined) link.openJobs--
-    this._move(open)
+  /** The coordinator has announced that it is stopping, so this job and all later ones go to the next one. */
+  private _handleMoved (ownedJob: OwnedJob): void {
+    const { link } = ownedJob
+    this._backoffUntil.set(link?.address ?? this._options.address, this._options.clock.now() + COORDINATOR_BACKOFF_MS)
+    if (link !== undefined) link.openJobCount--
+    this._moveJob(ownedJob)
   }
 
-  private _move (open: OpenJob): void {
-    open.moves++
-    this._options.log.info('preparation_moved', { request: open.job.id, moves: open.moves })
-    if (open.moves > MAX_MOVES) return this._settle(open, { kind: 'refused', jobId: open.job.id, refusal: { reason: 'interrupted', retryAfterMs: AVOID_MS } })
-    void this._submit(open)
+  private _moveJob (ownedJob: OwnedJob): void {
+    ownedJob.moveCount++
+    this._options.log.info('preparation_moved', { request: ownedJob.job.id, moves: ownedJob.moveCount })
+    if (ownedJob.moveCount > MAX_MOVES) return this._complete(ownedJob, { kind: 'refused', jobId: ownedJob.job.id, refusal: { reason: 'interrupted', retryAfterMs: COORDINATOR_BACKOFF_MS } })
+    void this._submit(ownedJob)
   }
 
-  private _settle (open: OpenJob, news: JobEnd): void {
-    if (this._jobs.get(open.job.id) !== open) return
-    this._jobs.delete(open.job.id)
-    if (open.link !== undefined) open.link.openJobs--
-    open.settle(news)
+  private _complete (ownedJob: OwnedJob, update: JobEnd): void {
+    if (this._jobs.get(ownedJob.job.id) !== ownedJob) return
+    this._jobs.delete(ownedJob.job.id)
+    if (ownedJob.link !== undefined) ownedJob.link.openJobCount--
+    ownedJob.complete(update)
   }
 
-  private _follow (link: CoordinatorLink): void {
-    link.onDidReceive(news => {
-      const open = this._jobs.get(news.jobId)
-      if (open?.link === link) this._take(open, news)
+  private _subscribe (link: CoordinatorLink): void {
+    link.onDidReceiveUpdate(update => {
+      const ownedJob = this._jobs.get(update.jobId)
+      if (ownedJob?.link === link) this._handleUpdate(ownedJob, update)
     })
   }
 
   /**
-   * A coordinator is asked over a new connection before it is left alone: when connections go silent, nodes that went on
-   * to the next coordinator, and found it silent too, each planned alone in the same upstreams.
+   * Retries a coordinator over a new connection before backing off from it if only its link stalled. When many links
+   * stalled at once, nodes that moved to the next coordinator found its link stalled as well, until each node planned
+   * alone for the same upstreams.
    */
-  private _lose ({ address, link }: LostCoordinator): void {
-    const mayAskAgain = link?.wentSilent === true
-    if (!mayAskAgain) this._avoidUntil.set(address, this._options.clock.now() + AVOID_MS)
-    this._options.log.warn('coordinator_lost', { coordinator: address, jobs: this._jobs.size, asked_again: mayAskAgain })
-    if (link !== undefined) for (const open of [...this._jobs.values()]) if (open.link === link) this._move(open)
+  private _handleLostCoordinator ({ address, link }: LostCoordinator): void {
+    const canRetry = link?.hasStalled === true
+    if (!canRetry) this._backoffUntil.set(address, this._options.clock.now() + COORDINATOR_BACKOFF_MS)
+    this._options.log.warn('coordinator_lost', { coordinator: address, jobs: this._jobs.size, asked_again: canRetry })
+    if (link !== undefined) for (const ownedJob of [...this._jobs.values()]) if (ownedJob.link === link) this._moveJob(ownedJob)
   }
 
-  private _createOutcome (open: OpenJob, news: JobEnd, signal: AbortSignal): Either<JobRefusal, IPreparedInputs> {
-    return news.kind === 'refused' ? Left(news.refusal) : Right(this._createInputs(open, news, signal))
+  private _createOutcome (ownedJob: OwnedJob, update: JobEnd, signal: AbortSignal): Either<JobRefusal, IPreparedInputs> {
+    return update.kind === 'refused' ? Left(update.refusal) : Right(this._createInputs(ownedJob, update, signal))
   }
 
-  private _createInputs (open: OpenJob, news: JobEnd & { readonly kind: 'prepared' }, signal: AbortSignal): IPreparedInputs {
-    const { results, targetId, prefixSourceId, hall } = news
-    if (targetId !== '') this._prefixes.add(open.job.request.shared, targetId, this._options.clock.now())
+  private _createInputs (ownedJob: OwnedJob, update: JobEnd & { readonly kind: 'prepared' }, signal: AbortSignal): IPreparedInputs {
+    const { results, targetId, prefixSourceId, hall } = update
+    if (targetId !== '') this._prefixes.add(ownedJob.job.request.shared, targetId, this._options.clock.now())
     let isReleased = false
     let isReported = false
     return {
       handles: results.map(result => result.handle),
-      bytes: sumFinalBytes(open.job),
+      bytes: sumResultBytes(ownedJob.job),
       targetId,
       prefixSourceId,
       hall,
@@ -254,59 +258,59 @@
       report: report => {
         if (isReported) return
         isReported = true
-        this._report(open, report)
+        this._report(ownedJob, report)
       },
       release: () => {
         if (isReleased) return
         isReleased = true
-        this._giveBack(open, results)
+        this._releaseJob(ownedJob, results)
       },
       prepareAgain: () => {
-        if (!isReported) this._report(open, { outcome: 'unused', producedMs: 0 })
+        if (!isReported) this._report(ownedJob, { outcome: 'unused', producedMs: 0 })
         isReported = true
-        if (isReleased) return this.prepare(this._updateTimes(open), signal, open.onDidLose)
+        if (isReleased) return this.prepare(this._createSubmission(ownedJob), signal, ownedJob.onDidLose)
         isReleased = true
-        return this._prepareAgain(open, results, signal)
+        return this._prepareAgain(ownedJob, results, signal)
       }
     }
   }
 
-  private _prepareAgain (open: OpenJob, results: readonly PieceResult[], signal: AbortSignal): Promise<Either<JobRefusal, IPreparedInputs>> {
-    const { job, link } = open
-    if (signal.aborted) this._giveBack(open, results)
+  private _prepareAgain (ownedJob: OwnedJob, results: readonly PieceResult[], signal: AbortSignal): Promise<Either<JobRefusal, IPreparedInputs>> {
+    const { job, link } = ownedJob
+    if (signal.aborted) this._releaseJob(ownedJob, results)
     if (link?.isClosed === true) {
-      this._freeDirectly(results)
-      return this.prepare(this._updateTimes(open), signal, open.onDidLose)
+      this._freeOrphanedResults(results)
+      return this.prepare(this._createSubmission(ownedJob), signal, ownedJob.onDidLose)
     }
-    return this._open(job, { startedAt: open.startedAt, signal, onDidLose: open.onDidLose }, again => {
-      again.link = link
+    return this._track(job, { startedAt: ownedJob.startedAt, signal, onDidLose: ownedJob.onDidLose }, reopened => {
+      reopened.link = link
       if (link !== undefined) {
-        link.openJobs++
+        link.openJobCount++
         link.send({ kind: 'reopen', jobId: job.id })
-      } else if (!this._options.coordinator.reopen(job.id, news => this._take(again, news))) {
-        this._settle(again, { kind: 'refused', jobId: job.id, refusal: { reason: 'interrupted', retryAfterMs: 0 } })
+      } else if (!this._options.coordinator.reopen(job.id, update => this._handleUpdate(reopened, update))) {
+        this._complete(reopened, { kind: 'refused', jobId: job.id, refusal: { reason: 'interrupted', retryAfterMs: 0 } })
       }
     })
   }
 
-  private _giveBack (open: OpenJob, results: readonly PieceResult[] = []): void {
-    const { job, link } = open
-    if (this._jobs.get(job.id) === open) {
+  private _releaseJob (ownedJob: OwnedJob, results: readonly PieceResult[] = []): void {
+    const { job, link } = ownedJob
+    if (this._jobs.get(job.id) === ownedJob) {
       this._jobs.delete(job.id)
-      if (link !== undefined) link.openJobs--
+      if (link !== undefined) link.openJobCount--
     }
     if (link === undefined) this._options.coordinator.release(job.id)
-    else if (link.isClosed) this._freeDirectly(results)
+    else if (link.isClosed) this._freeOrphanedResults(results)
     else link.send({ kind: 'release', jobId: job.id })
   }
 
-  private _report ({ job, link }: OpenJob, { outcome, producedMs }: TargetReport): void {
+  private _report ({ job, link }: OwnedJob, { outcome, producedMs }: TargetReport): void {
     if (link === undefined) this._options.coordinator.report(job.id, { outcome, producedMs })
     else if (!link.isClosed) link.send({ kind: 'report', jobId: job.id, outcome, producedMs: Math.max(0, producedMs) })
   }
 
-  /** The coordinator that counted these results is gone, so nobody else gives them back. */
-  private _freeDirectly (results: readonly PieceResult[]): void {
+  /** The coordinator that tracked these results is unreachable, so their owner frees them itself. */
+  private _freeOrphanedResults (results: readonly PieceResult[]): void {
     const byUpstream = new Map<string, string[]>()
     for (const { upstreamId, handle } of results) byUpstream.set(upstreamId, [...byUpstream.get(upstreamId) ?? [], handle])
     for (const [upstreamId, handles] of byUpstream) {
@@ -316,6 +320,6 @@
   }
 }
 
-function sumFinalBytes (job: PreparationJob): number {
+function sumResultBytes (job: PreparationJob): number {
   return listLastStages(job.stages).reduce((sum, index) => sum + (job.stages[index]?.pieceCount ?? 0) * (job.stages[index]?.resultBytes ?? 0), 0)
 }
--- a/src/services/preparation/node/preparationCoordinator.ts
+++ b/src/services/preparation/node/preparationCoordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the plan of all jobs that were given to this node: makes the calls, tells owners what became of their jobs, and
- * gives results back.
+ * Runs the plans of all jobs that were submitted to this node: makes the planned calls, sends job updates to the owners,
+ * and frees results that are no longer needed.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
@@ -16,7 +16,7 @@
 import type { PrefixNote } from '../common/prefixBook.ts'
 import type { TargetReport } from '../common/targetPlanner.ts'
 import { PlanLog } from './planLog.ts'
-import { HeldJob, PlanShard } from './planShard.ts'
+import { PlanShard, TrackedJob } from './planShard.ts'
 
 export interface PreparationCoordinatorOptions {
   readonly clock: IClock
@@ -25,60 +25,59 @@
   readonly registry: UpstreamRegistry
   readonly getTable: () => RelayTable | undefined
   readonly limits?: LimitSource
-  /** Asked before a call is written; without it every call is. */
+  /** Checked before a call is written to the connection; without a guard every call is sent. */
   readonly guard?: SendGuard
 }
 
-/** A job as it comes to a coordinator. */
-export interface SubmittedJob {
+export interface JobSubmission {
   readonly job: PreparationJob
-  /** The hall whose upstreams do it; empty for all. */
+  /** The hall whose upstreams compute the pieces; empty for all halls. */
   readonly hall: string
-  /** What would be late may be declined: its owner asks another plan. */
+  /** The plan may decline the job if it would finish late; the owner then asks another plan. */
   readonly isOffer?: boolean
-  /** What an earlier coordinator made. */
+  /** Results that were computed under an earlier coordinator. */
   readonly carried?: readonly CarriedPiece[]
-  /** What the job came over; missing for this node's own jobs. */
+  /** The connection that the job arrived over; undefined for this node's own jobs. */
   readonly link?: object
 }
 
-/** Who is told of a job. */
-export type JobListener = (news: JobNews) => void
+/** Receives the updates of one job. */
+export type JobListener = (update: JobNews) => void
 
-/** How often deadlines and lifetimes are looked at while there are jobs. */
+/** Interval at which deadlines and result lifetimes are checked while there are jobs. */
 const SWEEP_PERIOD_MS = 50
-/** How often a plan with jobs says how much waits for it. */
+/** Minimum time between two log lines on the load of a plan. */
 const LOAD_LOG_PERIOD_MS = 1000
-/** What becomes known within this time is planned together: planning looks at all jobs. */
+/** Events within this time are covered by one planning pass, because each pass examines all jobs. */
 const DISPATCH_DELAY_MS = 2
-/** Results are given back together with what becomes free within this time. */
+/** Results that become unused within this time are freed together. */
 const FREE_DELAY_MS = 10
 /**
- * A job that went on elsewhere has used what lies at its makers within this time: an owner takes a silent coordinator for
- * lost after 600 ms, and a stage takes about 400.
+ * How long the results of a detached job are kept. A job that continued under another coordinator has consumed them by
+ * then: an owner considers a silent coordinator lost after 600 ms, and a stage takes about 400 ms.
  */
-const DETACHED_MS = 1500
+const DETACHED_RETENTION_MS = 1500
 
 export class PreparationCoordinator extends Disposable {
   private readonly _options: PreparationCoordinatorOptions
   private readonly _shards = new Map<string, PlanShard>()
-  /** Plans whose jobs go elsewhere as soon as nothing is being made for them. */
-  private readonly _endingShards = new Set<PlanShard>()
+  /** Plans that start no more calls; each of their jobs is moved once none of its calls is in flight. */
+  private readonly _drainingShards = new Set<PlanShard>()
   private readonly _listeners = new Map<string, JobListener>()
-  private readonly _jobs = new Map<string, HeldJob>()
-  private _sweep: IDisposable | undefined
-  private _isEnding = false
+  private readonly _jobs = new Map<string, TrackedJob>()
+  private _sweepTimer: IDisposable | undefined
+  private _isDraining = false
   private readonly _planLog: PlanLog
 
   constructor (options: PreparationCoordinatorOptions) {
     super()
     this._options = options
     this._planLog = new PlanLog(options.log)
-    this._register(options.registry.onDidChange(change => this._takeChange(change)))
-    this._register(options.registry.onDidEvacuate(hall => this._endPlanOf(hall)))
+    this._register(options.registry.onDidChange(change => this._applyUpstreamChange(change)))
+    this._register(options.registry.onDidEvacuate(hall => this._drainHall(hall)))
     this._register(toDisposable(() => {
       this._listeners.clear()
-      this._sweep?.dispose()
+      this._sweepTimer?.dispose()
     }))
   }
 
@@ -86,138 +85,141 @@
     return this._jobs.size
   }
 
-  /** Whether this coordinator plans for a hall already. */
+  /** Whether this coordinator already has a plan for the hall. */
   hasPlan (hall: string): boolean {
     return this._shards.has(hall)
   }
 
-  /** Whether a job is known here. */
-  holds (jobId: string): boolean {
+  hasJob (jobId: string): boolean {
     return this._jobs.has(jobId)
   }
 
-  /** Takes in what the configuration says of the roles. */
+  /** Applies the roles of the current configuration to all plans. */
   refresh (): void {
     for (const shard of this._shards.values()) this._refreshShard(shard)
   }
 
-  /** Takes a job into the plan of a hall; the empty hall stands for all of them. */
-  submit ({ job, hall, carried = [], isOffer, link }: SubmittedJob, listener: JobListener): void {
-    if (this._isEnding) return listener({ kind: 'moved', jobId: job.id })
+  /** Adds a job to the plan of a hall; the empty hall stands for all halls. */
+  submit ({ job, hall, carried = [], isOffer, link }: JobSubmission, listener: JobListener): void {
+    if (this._isDraining) return listener({ kind: 'moved', jobId: job.id })
     const shard = this._getShard(hall)
     if (carried.length > 0) this._options.log.info('preparation_carried', { request: job.id, hall, pieces: carried.length })
-    this._forgetReplaced(job.id, link)
+    this._forgetReplacedJob(job.id, link)
     const refusal = shard.planner.addJob(job, this._options.clock.now(), { carried, isOffer })
     if (refusal?.reason === 'late') {
-      this._planLog.noteDeclined(hall, job.id, refusal)
+      this._planLog.recordDeclined(hall, job.id, refusal)
       return listener({ kind: 'declined', jobId: job.id, endInMs: refusal.endInMs })
     }
     if (refusal !== undefined) {
-      this._noteRefused(job.id, refusal, shard)
+      this._removeRefusedJob(job.id, refusal, shard)
       this._scheduleFrees(shard)
       return listener({ kind: 'refused', jobId: job.id, refusal })
     }
     this._listeners.set(job.id, listener)
-    this._jobs.set(job.id, new HeldJob(shard, link))
+    this._jobs.set(job.id, new TrackedJob(shard, link))
     this._scheduleDispatch(shard)
     this._scheduleSweep()
   }
 
-  /** Jobs go to the next coordinator, with their results, as soon as nothing is being made for them. */
+  /**
+   * Moves each job, with its results, to the next coordinator as soon as none of its calls is in flight. Jobs that are
+   * submitted from now on are answered with `moved` at once.
+   */
   moveJobs (): void {
-    this._isEnding = true
-    for (const shard of this._shards.values()) this._endShard(shard)
+    this._isDraining = true
+    for (const shard of this._shards.values()) this._drainShard(shard)
   }
 
   /**
-   * Ends the plans that another coordinator should keep. Nodes that start together plan alone for a moment; two plans
-   * fill the same room, and each takes the other's results for free room.
+   * Drains the plans that another coordinator is responsible for. Nodes that start at the same time briefly plan alone.
+   * Two plans then fill the result capacity of the same upstreams, and each regards capacity that the other uses as free.
    */
-  moveJobsOf (isElsewhere: (hall: string) => boolean): void {
-    for (const shard of [...this._shards.values()]) if (shard.planner.jobCount > 0 && isElsewhere(shard.hall)) this._endShard(shard)
+  movePlans (shouldMove: (hall: string) => boolean): void {
+    for (const shard of [...this._shards.values()]) if (shard.planner.jobCount > 0 && shouldMove(shard.hall)) this._drainShard(shard)
   }
 
-  /** Nothing can be made in an evacuated hall: its jobs go to the plans of others at once. */
-  private _endPlanOf (hall: string): void {
+  /** Nothing can be computed in an evacuated hall, so its jobs move to other plans at once. */
+  private _drainHall (hall: string): void {
     const shard = this._shards.get(hall)
-    if (shard !== undefined) this._endShard(shard)
+    if (shard !== undefined) this._drainShard(shard)
   }
 
-  /** Jobs that still come for the hall start a new plan. */
-  private _endShard (shard: PlanShard): void {
+  /** A job that is submitted for the hall from now on starts a new plan. */
+  private _drainShard (shard: PlanShard): void {
     this._options.log.info('plan_ending', { hall: shard.hall, jobs: shard.planner.jobCount })
     this._shards.delete(shard.hall)
-    this._endingShards.add(shard)
+    this._drainingShards.add(shard)
     shard.planner.end()
-    this._deliver(shard)
+    this._deliverUpdates(shard)
   }
 
-  /** Gives results back. */
+  /** Frees the results of a job that its owner no longer needs. */
   release (jobId: string): void {
-    const held = this._jobs.get(jobId)
-    if (held === undefined) return
-    // Nobody asked for a target yet, so no report will come.
-    if (this._listeners.delete(jobId)) held.isReported = true
-    held.isReleased = true
-    held.shard.planner.releaseJob(jobId)
-    this._scheduleFrees(held.shard)
-    this._forget(jobId, held)
+    const trackedJob = this._jobs.get(jobId)
+    if (trackedJob === undefined) return
+    // The owner has not received a target yet, so no report will follow.
+    if (this._listeners.delete(jobId)) trackedJob.isReported = true
+    trackedJob.isReleased = true
+    trackedJob.shard.planner.releaseJob(jobId)
+    this._scheduleFrees(trackedJob.shard)
+    this._forgetIfFinished(jobId, trackedJob)
   }
 
   /**
-   * The link to a job's owner broke. If the owner is gone, the results are of no use; if only the link is, another
-   * coordinator may be going on from them. Nothing more is made, and they are given back when they must have been used.
+   * Handles the loss of the link to a job's owner. If the owner has failed, the results are useless; if only the link
+   * broke, another coordinator may be continuing from them. No more pieces are computed, and the results are freed after
+   * `DETACHED_RETENTION_MS`, when they must have been consumed.
    */
   detach (jobId: string, link: object): void {
-    const held = this._jobs.get(jobId)
-    // An owner that came back over a new link has the job again, whenever the end of the old one is noticed.
-    if (held === undefined || held.isDetached || held.link !== link) return
-    held.isDetached = true
+    const trackedJob = this._jobs.get(jobId)
+    // If the owner has already submitted the job again over a new link, the close of the old link does not matter.
+    if (trackedJob === undefined || trackedJob.isDetached || trackedJob.link !== link) return
+    trackedJob.isDetached = true
     this._listeners.delete(jobId)
-    held.shard.planner.detachJob(jobId)
-    this._options.clock.schedule(DETACHED_MS, () => {
-      if (this._isDisposed || this._jobs.get(jobId) !== held) return
+    trackedJob.shard.planner.detachJob(jobId)
+    this._options.clock.schedule(DETACHED_RETENTION_MS, () => {
+      if (this._isDisposed || this._jobs.get(jobId) !== trackedJob) return
       this.release(jobId)
       this.report(jobId, { outcome: 'unused', producedMs: 0 })
     })
   }
 
   /**
-   * The owner is back, and knows which results it has. Its old link may still look open where that went silent; what was
-   * said over it since was not heard.
+   * Forgets the state of a job that its owner submits again, together with the results that it has received. A stalled
+   * old link may still look open, but updates that were sent over it since then have not been received.
    */
-  private _forgetReplaced (jobId: string, link: object | undefined): void {
-    const held = this._jobs.get(jobId)
-    if (held === undefined || (!held.isDetached && held.link === link)) return
-    held.shard.planner.forgetJob(jobId)
+  private _forgetReplacedJob (jobId: string, link: object | undefined): void {
+    const trackedJob = this._jobs.get(jobId)
+    if (trackedJob === undefined || (!trackedJob.isDetached && trackedJob.link === link)) return
+    trackedJob.shard.planner.forgetJob(jobId)
     this._jobs.delete(jobId)
   }
 
-  /** Takes in what an owner knows of the prompts that upstreams have read. */
+  /** Adds an owner's records of the prompt prefixes that upstreams have processed. */
   addPrefixes (hall: string, notes: readonly PrefixNote[]): void {
     this._getShard(hall).planner.addPrefixes(notes, this._options.clock.now())
   }
 
-  /** Takes in how a request fared at the upstream that was chosen for it. */
+  /** Records the outcome of a request at the upstream that was chosen for it. */
   report (jobId: string, report: TargetReport): void {
-    const held = this._jobs.get(jobId)
-    if (held === undefined) return
-    held.isReported = true
-    held.shard.planner.reportTarget(jobId, report, this._options.clock.now())
-    this._forget(jobId, held)
+    const trackedJob = this._jobs.get(jobId)
+    if (trackedJob === undefined) return
+    trackedJob.isReported = true
+    trackedJob.shard.planner.reportTarget(jobId, report, this._options.clock.now())
+    this._forgetIfFinished(jobId, trackedJob)
   }
 
-  /** Release and report come in any order; with both, a job is over. */
-  private _forget (jobId: string, held: HeldJob): void {
-    if (held.isReleased && held.isReported) this._jobs.delete(jobId)
+  /** Release and report arrive in any order; after both, a job is finished. */
+  private _forgetIfFinished (jobId: string, trackedJob: TrackedJob): void {
+    if (trackedJob.isReleased && trackedJob.isReported) this._jobs.delete(jobId)
   }
 
-  /** Makes results anew; false when the job is not known here. */
+  /** Computes the results of a job again. Returns false if the job is not known here. */
   reopen (jobId: string, listener: JobListener): boolean {
-    const held = this._jobs.get(jobId)
-    if (held === undefined || !held.shard.planner.reopenJob(jobId, this._options.clock.now())) return false
-    const { shard, link } = held
-    this._jobs.set(jobId, new HeldJob(shard, link))
+    const trackedJob = this._jobs.get(jobId)
+    if (trackedJob === undefined || !trackedJob.shard.planner.reopenJob(jobId, this._options.clock.now())) return false
+    const { shard, link } = trackedJob
+    this._jobs.set(jobId, new TrackedJob(shard, link))
     this._listeners.set(jobId, listener)
     this._scheduleDispatch(shard)
     this._scheduleSweep()
@@ -244,46 +246,46 @@
   }
 
   private _scheduleDispatch (shard: PlanShard): void {
-    if (shard.isDispatching) return
-    shard.isDispatching = true
+    if (shard.isDispatchScheduled) return
+    shard.isDispatchScheduled = true
     this._options.clock.schedule(DISPATCH_DELAY_MS, () => {
-      shard.isDispatching = false
+      shard.isDispatchScheduled = false
       if (!this._isDisposed) this._dispatch(shard)
     })
   }
 
-  /** Deadlines pass without any event. */
+  /** Deadlines pass without any event, so they are checked periodically. */
   private _scheduleSweep (): void {
-    if (this._sweep !== undefined) return
-    this._sweep = this._options.clock.schedule(SWEEP_PERIOD_MS, () => {
-      this._sweep = undefined
+    if (this._sweepTimer !== undefined) return
+    this._sweepTimer = this._options.clock.schedule(SWEEP_PERIOD_MS, () => {
+      this._sweepTimer = undefined
       if (this._isDisposed) return
-      for (const shard of this._endingShards) if (shard.planner.jobCount === 0) this._endingShards.delete(shard)
-      const busy = [...this._shards.values(), ...this._endingShards].filter(shard => shard.planner.jobCount > 0)
-      for (const shard of busy) this._dispatch(shard)
-      for (const shard of busy) this._noteLoad(shard)
-      if (busy.length > 0) this._scheduleSweep()
+      for (const shard of this._drainingShards) if (shard.planner.jobCount === 0) this._drainingShards.delete(shard)
+      const busyShards = [...this._shards.values(), ...this._drainingShards].filter(shard => shard.planner.jobCount > 0)
+      for (const shard of busyShards) this._dispatch(shard)
+      for (const shard of busyShards) this._recordLoad(shard)
+      if (busyShards.length > 0) this._scheduleSweep()
     })
   }
 
-  private _noteLoad (shard: PlanShard): void {
+  private _recordLoad (shard: PlanShard): void {
     const now = this._options.clock.now()
     if (now - shard.loadLoggedAt < LOAD_LOG_PERIOD_MS) return
     shard.loadLoggedAt = now
-    this._planLog.noteLoad(shard.hall, shard.planner.measureLoad(now))
+    this._planLog.recordLoad(shard.hall, shard.planner.measureLoad(now))
   }
 
   private _dispatch (shard: PlanShard): void {
-    for (const call of shard.planner.startCalls(this._options.clock.now())) void this._run(shard, call)
-    this._deliver(shard)
+    for (const call of shard.planner.startCalls(this._options.clock.now())) void this._runCall(shard, call)
+    this._deliverUpdates(shard)
     this._scheduleFrees(shard)
   }
 
-  private async _run (shard: PlanShard, call: PlannedCall): Promise<void> {
+  private async _runCall (shard: PlanShard, call: PlannedCall): Promise<void> {
     const { registry, protocol, guard, clock, log } = this._options
     const upstream = registry.get(call.upstreamId)
     const startedAt = clock.now()
-    const known = registry.computeAge(startedAt)
+    const registryAge = registry.computeAge(startedAt)
     const outcome = upstream === undefined
       ? { kind: 'notRun' as const, reason: 'unreachable' as const }
       : await protocol.runPieces(upstream, call.pieces, { timeoutMs: call.timeoutMs, onWillSend: () => guard?.maySend(upstream.id, call.pieces[0]?.jobId ?? '') !== false })
@@ -292,58 +294,58 @@
       log.info('piece_call_failed', { upstream: call.upstreamId, pieces: call.pieces.length, outcome: outcome.kind, reason: outcome.reason, took_ms: Math.round(clock.now() - startedAt) })
       if (outcome.kind === 'notRun' && outcome.reason === 'otherUpstream') registry.dropForGood(call.upstreamId, 'address answers as another')
     }
-    this._planLog.noteCall(call, { outcome, tookMs: clock.now() - startedAt, known })
+    this._planLog.recordCall(call, { outcome, tookMs: clock.now() - startedAt, registryAge })
     shard.planner.settleCall(call.id, outcome, clock.now())
-    this._deliver(shard)
+    this._deliverUpdates(shard)
     this._scheduleDispatch(shard)
   }
 
-  private _moveAway (jobId: string): void {
+  private _notifyMoved (jobId: string): void {
     const listener = this._listeners.get(jobId)
     this._listeners.delete(jobId)
     this._jobs.delete(jobId)
     listener?.({ kind: 'moved', jobId })
   }
 
-  private _deliver (shard: PlanShard): void {
-    for (const news of shard.planner.takeNews()) {
-      const listener = this._listeners.get(news.jobId)
-      if (news.kind !== 'made' && news.kind !== 'lost') this._listeners.delete(news.jobId)
-      if (news.kind === 'refused') this._noteRefused(news.jobId, news.refusal, shard)
-      else if (news.kind === 'prepared') this._planLog.notePrepared(news)
-      listener?.(news)
+  private _deliverUpdates (shard: PlanShard): void {
+    for (const update of shard.planner.takeNews()) {
+      const listener = this._listeners.get(update.jobId)
+      if (update.kind !== 'made' && update.kind !== 'lost') this._listeners.delete(update.jobId)
+      if (update.kind === 'refused') this._removeRefusedJob(update.jobId, update.refusal, shard)
+      else if (update.kind === 'prepared') this._planLog.recordPrepared(update)
+      listener?.(update)
     }
-    for (const jobId of shard.planner.takeIdleJobs()) this._moveAway(jobId)
+    for (const jobId of shard.planner.takeIdleJobs()) this._notifyMoved(jobId)
   }
 
-  private _noteRefused (jobId: string, refusal: JobRefusal, shard: PlanShard): void {
+  private _removeRefusedJob (jobId: string, refusal: JobRefusal, shard: PlanShard): void {
     this._jobs.delete(jobId)
     this._options.log.info('preparation_refused', { request: jobId, hall: shard.hall, reason: refusal.reason, retry_after_ms: refusal.retryAfterMs, jobs: shard.planner.jobCount })
   }
 
   private _scheduleFrees (shard: PlanShard): void {
-    if (shard.isFreeing || !shard.planner.hasFrees) return
-    shard.isFreeing = true
+    if (shard.isFreeScheduled || !shard.planner.hasFrees) return
+    shard.isFreeScheduled = true
     this._options.clock.schedule(FREE_DELAY_MS, () => {
-      shard.isFreeing = false
+      shard.isFreeScheduled = false
       if (this._isDisposed) return
-      for (const free of shard.planner.takeFrees()) void this._free(shard, free)
+      for (const free of shard.planner.takeFrees()) void this._freeResults(shard, free)
     })
   }
 
-  private async _free (shard: PlanShard, free: PlannedFree): Promise<void> {
+  private async _freeResults (shard: PlanShard, free: PlannedFree): Promise<void> {
     const { registry, protocol } = this._options
     const upstream = registry.get(free.upstreamId)
-    // An evacuated hall is sent nothing at all; what lies there goes when its lifetime ends.
-    const mayFree = upstream !== undefined && !registry.isEvacuated(upstream.hall)
-    const isDone = mayFree && await protocol.freeResults(upstream, free.handles)
+    // Nothing is sent to an evacuated hall; results that are held there expire at the end of their lifetime.
+    const canFree = upstream !== undefined && !registry.isEvacuated(upstream.hall)
+    const isDone = canFree && await protocol.freeResults(upstream, free.handles)
     if (this._isDisposed) return
     shard.planner.settleFree(free, isDone, this._options.clock.now())
     if (shard.planner.jobCount > 0) this._scheduleDispatch(shard)
   }
 
-  private _takeChange ({ kind, entry }: UpstreamChange): void {
-    for (const shard of [...this._shards.values(), ...this._endingShards]) {
+  private _applyUpstreamChange ({ kind, entry }: UpstreamChange): void {
+    for (const shard of [...this._shards.values(), ...this._drainingShards]) {
       if (kind === 'dropped') shard.planner.dropUpstream(entry.id)
       else this._setUpstream(shard, entry)
     }
@@ -351,7 +353,7 @@
 
   private _setUpstream (shard: PlanShard, entry: UpstreamEntry): void {
     const work = this._options.getTable()?.getRole(entry.role)?.pieceWork
-    if (work === undefined || !shard.holds(entry)) return
+    if (work === undefined || !shard.isInScope(entry)) return
     const { concurrentCalls, maxPiecesPerCall, callMs, pieceMs, resultRoomBytes, resultLifetimeMs } = work
     shard.planner.setUpstream({
       id: entry.id,
--- a/src/services/preparation/node/preparationServer.ts
+++ b/src/services/preparation/node/preparationServer.ts
@@ -1,5 +1,5 @@
 /**
- * Lets other nodes give jobs to this node's coordinator.
+ * Accepts jobs from other nodes for this node's coordinator.
  */
 import { Disposable } from '../../../base/common/disposable.ts'
 import type { FrameConnection } from '../../../base/node/frameConnection.ts'
@@ -11,22 +11,22 @@
 import type { PreparationMessage } from '../common/preparationMessage.ts'
 import type { PreparationCoordinator } from './preparationCoordinator.ts'
 
-/** Whether a node may send one request to an upstream, by the boot's id. */
-export type QuotaAnswerer = (upstreamId: string, limit: ToldLimit | undefined) => QuotaGrant
+/** Decides whether a node may send one request to an upstream, identified by the id of its process instance. */
+export type QuotaHandler = (upstreamId: string, limit: ToldLimit | undefined) => QuotaGrant
 
-/** An answer holds a finite time. */
-const MAX_RETRY_MS = 10_000
-const NO_QUOTA: QuotaGrant = { isGranted: false, retryInMs: MAX_RETRY_MS }
+/** Upper bound for retry times in answers: the wire format has no infinite number. */
+const MAX_QUOTA_RETRY_MS = 10_000
+const QUOTA_UNAVAILABLE: QuotaGrant = { isGranted: false, retryInMs: MAX_QUOTA_RETRY_MS }
 
 export class PreparationServer extends Disposable {
   private readonly _server = this._register(new FrameServer(connection => this._accept(connection)))
 
-  /** Without a quota, requests at limited upstreams are not given out here. */
-  constructor (private readonly _coordinator: PreparationCoordinator, private readonly _log: ILogService, private readonly _answerQuota?: QuotaAnswerer) {
+  /** Without `_answerQuota`, all requests for quota are denied. */
+  constructor (private readonly _coordinator: PreparationCoordinator, private readonly _log: ILogService, private readonly _answerQuota?: QuotaHandler) {
     super()
   }
 
-  /** Resolves with the port, which is a free one where 0 was asked for. */
+  /** Resolves with the bound port; the system chooses a free one if `port` is 0. */
   listen (host: string, port: number): Promise<number> {
     return this._server.listen(host, port)
   }
@@ -37,36 +37,36 @@
       checkPreparationMessage(frame).caseOf({
         Left: error => {
           this._log.warn('frame_refused', { code: error.resultName, place: error.place })
-          // What a newer owner says beside the rest is skipped.
+          // Kinds of messages that only newer owners send are ignored.
           if (error.resultName !== 'messageUnknown') connection.dispose()
         },
-        Right: message => this._take(connection, jobs, message)
+        Right: message => this._handleMessage(connection, jobs, message)
       })
     })
     connection.onDidClose(() => { for (const jobId of jobs) this._coordinator.detach(jobId, connection) })
   }
 
-  private _take (connection: FrameConnection, jobs: Set<string>, message: PreparationMessage): void {
+  private _handleMessage (connection: FrameConnection, jobs: Set<string>, message: PreparationMessage): void {
     const send = (reply: PreparationMessage) => connection.send(reply)
     if (message.kind === 'ping') {
       send({ kind: 'pong' })
     } else if (message.kind === 'quotaWanted') {
-      const { isGranted, retryInMs } = this._answerQuota?.(message.upstreamId, message.limit) ?? NO_QUOTA
-      send({ kind: 'quotaAnswered', id: message.id, isGranted, retryInMs: Math.min(MAX_RETRY_MS, retryInMs) })
+      const { isGranted, retryInMs } = this._answerQuota?.(message.upstreamId, message.limit) ?? QUOTA_UNAVAILABLE
+      send({ kind: 'quotaAnswered', id: message.id, isGranted, retryInMs: Math.min(MAX_QUOTA_RETRY_MS, retryInMs) })
     } else if (message.kind === 'job') {
       jobs.add(message.job.id)
-      this._coordinator.submit({ job: message.job, hall: message.hall, carried: message.carried, isOffer: message.isOffer, link: connection }, news => {
-        if (news.kind === 'refused' || news.kind === 'declined' || news.kind === 'moved') jobs.delete(news.jobId)
-        send(news)
+      this._coordinator.submit({ job: message.job, hall: message.hall, carried: message.carried, isOffer: message.isOffer, link: connection }, update => {
+        if (update.kind === 'refused' || update.kind === 'declined' || update.kind === 'moved') jobs.delete(update.jobId)
+        send(update)
       })
     } else if (message.kind === 'prefixes') {
       this._coordinator.addPrefixes(message.hall, message.notes)
     } else if (message.kind === 'release') {
       this._coordinator.release(message.jobId)
-      if (!this._coordinator.holds(message.jobId)) jobs.delete(message.jobId)
+      if (!this._coordinator.hasJob(message.jobId)) jobs.delete(message.jobId)
     } else if (message.kind === 'report') {
       this._coordinator.report(message.jobId, message)
-      if (!this._coordinator.holds(message.jobId)) jobs.delete(message.jobId)
+      if (!this._coordinator.hasJob(message.jobId)) jobs.delete(message.jobId)
     } else if (message.kind === 'reopen' && !this._coordinator.reopen(message.jobId, send)) {
       send({ kind: 'refused', jobId: message.jobId, refusal: { reason: 'interrupted', retryAfterMs: 0 } })
     }
--- a/src/services/preparation/test/busyHall.test.ts
+++ b/src/services/preparation/test/busyHall.test.ts
@@ -1,8 +1,8 @@
 /**
- * Each hall has a plan of its own, and a job went to the hall that its prompt's hash names, however much waited there: in
- * one second of a day of 61 nodes one hall had 64 late jobs of 103 and 1.6 s of work for the role that was short, the
- * next hall no late job and 0.25 s. Only a refusal took a job to a second hall, and a job that is merely late is not
- * refused.
+ * Guards against late jobs in one hall while another has free capacity. Each hall has its own plan, and a job went to the
+ * hall given by the hash of its prompt, regardless of the queue there: with 61 nodes, one hall had 64 late jobs of 103
+ * and 1.6 s of queued work for the bottleneck role, while the next hall had no late job and 0.25 s of queued work.
+ * Only a refused job was sent to a second hall, and a job that is merely late is not refused.
  */
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -27,10 +27,10 @@
 
 const HALLS = ['x', 'y', 'z']
 const UPSTREAMS_PER_HALL = 2
-const IN_TIME_MS = 500
+const GOAL_IN_MS = 500
 const STEP_MS = 5
 
-/** Makes pieces in the time that the configuration says, and counts them by hall. */
+/** Computes pieces in the time that the configuration states, and counts them by hall. */
 class TimedPieces extends PieceProtocol {
   readonly countByHall = new Map<string, number>()
 
@@ -50,20 +50,20 @@
   }
 }
 
-interface JobTimes {
+interface OutcomeCounts {
   readonly inTime: number
   readonly late: number
   readonly refused: number
 }
 
-/** A hall that is emptied while its jobs are being made. */
+/** A hall that is evacuated while its jobs are in progress. */
 interface HallEvacuation {
   readonly hall: string
   readonly atMs: number
 }
 
-/** One node that plans for all halls, and jobs that come to it all at once. */
-async function runJobs (jobs: readonly PreparationJob[], evacuations: readonly HallEvacuation[] = []): Promise<{ readonly times: JobTimes, readonly countByHall: ReadonlyMap<string, number> }> {
+/** Runs jobs that arrive all at once at a single node, which plans for all halls. */
+async function runJobs (jobs: readonly PreparationJob[], evacuations: readonly HallEvacuation[] = []): Promise<{ readonly outcomes: OutcomeCounts, readonly countByHall: ReadonlyMap<string, number> }> {
   const clock = new VirtualClock()
   const log = new LogService({ program: 'test', silent: true })
   const registry = new UpstreamRegistry()
@@ -87,12 +87,12 @@
     listPieceUpstreams: () => registry.listRole('a')
   })
   for (const { hall, atMs } of evacuations) clock.schedule(atMs, () => { registry.setEvacuated(hall, true) })
-  const times = { inTime: 0, late: 0, refused: 0 }
+  const outcomes = { inTime: 0, late: 0, refused: 0 }
   const ends = jobs.map(async job => {
     const result = await client.prepare(job, new AbortController().signal)
-    if (result.isLeft()) times.refused++
-    else if (clock.now() <= job.goalInMs) times.inTime++
-    else times.late++
+    if (result.isLeft()) outcomes.refused++
+    else if (clock.now() <= job.goalInMs) outcomes.inTime++
+    else outcomes.late++
     result.ifRight(inputs => { inputs.release() })
   })
   const all = Promise.all(ends).then(() => true)
@@ -102,10 +102,10 @@
   }
   client.dispose()
   coordinator.dispose()
-  return { times, countByHall: pieces.countByHall }
+  return { outcomes, countByHall: pieces.countByHall }
 }
 
-/** Keys of prompts whose first hall is this one. */
+/** Returns keys of prompts whose first choice is this hall. */
 function listKeys (hall: string, count: number): readonly string[] {
   const upstreams = HALLS.flatMap(name => Array.from({ length: UPSTREAMS_PER_HALL }, () => ({ role: 'a', hall: name })))
   const keys: string[] = []
@@ -114,37 +114,37 @@
 }
 
 function createJobs (hall: string, count: number): readonly PreparationJob[] {
-  return listKeys(hall, count).map(key => createJob(key, [createStage('a', 1)], { goalInMs: IN_TIME_MS, request: { role: 'model', shared: [{ key, tokens: 100 }], inputTokens: 100 } }))
+  return listKeys(hall, count).map(key => createJob(key, [createStage('a', 1)], { goalInMs: GOAL_IN_MS, request: { role: 'model', shared: [{ key, tokens: 100 }], inputTokens: 100 } }))
 }
 
-test('what would be late in its own hall is made in another that can make it in time', async () => {
-  // A hall makes about 24 pieces within the goal.
-  const { times } = await runJobs(createJobs('x', 60))
-  assert.equal(times, { inTime: 60, late: 0, refused: 0 })
+test('a job that would be late in its own hall is computed in another hall in time', async () => {
+  // A hall computes about 24 pieces within the goal.
+  const { outcomes } = await runJobs(createJobs('x', 60))
+  assert.equal(outcomes, { inTime: 60, late: 0, refused: 0 })
 })
 
-test('what can be in time stays in its own hall, which knows its prompts', async () => {
-  const { times, countByHall } = await runJobs(createJobs('x', 12))
-  assert.is(times.inTime, 12)
+test('a job that can be in time stays in its own hall, where its prefix is cached', async () => {
+  const { outcomes, countByHall } = await runJobs(createJobs('x', 12))
+  assert.is(outcomes.inTime, 12)
   assert.equal([...countByHall], [['x', 12]])
 })
 
-test('the jobs of a hall that is evacuated are made in others, and nothing is begun there any more', async () => {
-  // One call of four pieces at each of two upstreams has begun by then.
-  const { times, countByHall } = await runJobs(createJobs('x', 24), [{ hall: 'x', atMs: 50 }])
-  assert.equal(times, { inTime: 24, late: 0, refused: 0 })
+test('the jobs of an evacuated hall are computed in other halls, and no more calls start there', async () => {
+  // By then, one call of four pieces has started at each of the two upstreams.
+  const { outcomes, countByHall } = await runJobs(createJobs('x', 24), [{ hall: 'x', atMs: 50 }])
+  assert.equal(outcomes, { inTime: 24, late: 0, refused: 0 })
   assert.is(countByHall.get('x'), 8)
 })
 
 test('when all halls are evacuated, jobs are refused at once', async () => {
-  const { times } = await runJobs(createJobs('x', 6), HALLS.map(hall => ({ hall, atMs: 0 })))
-  assert.equal(times, { inTime: 0, late: 0, refused: 6 })
+  const { outcomes } = await runJobs(createJobs('x', 6), HALLS.map(hall => ({ hall, atMs: 0 })))
+  assert.equal(outcomes, { inTime: 0, late: 0, refused: 6 })
 })
 
-test('what would be late in every hall is made all the same, spread over all of them', async () => {
-  const { times, countByHall } = await runJobs(createJobs('x', 150))
-  assert.is(times.refused, 0)
-  assert.is(times.inTime + times.late, 150)
+test('jobs that would be late in every hall are still computed, distributed over all halls', async () => {
+  const { outcomes, countByHall } = await runJobs(createJobs('x', 150))
+  assert.is(outcomes.refused, 0)
+  assert.is(outcomes.inTime + outcomes.late, 150)
   for (const hall of HALLS) assert.ok((countByHall.get(hall) ?? 0) >= 35, `${hall}: ${countByHall.get(hall)} of 150`)
 })
 
--- a/src/services/preparation/test/coordinatorChoice.test.ts
+++ b/src/services/preparation/test/coordinatorChoice.test.ts
@@ -8,18 +8,18 @@
 const b = { address: '10.0.0.2:1', hall: 'y', incarnation: 20, weight: 1 }
 const c = { address: '10.0.0.3:1', hall: 'y', incarnation: 20, weight: 1 }
 
-test('the node that runs for longest coordinates, whatever the order of the list', () => {
+test('the node that has run longest coordinates, regardless of the order of the list', () => {
   assert.is(chooseCoordinator([b, a, c]), a.address)
   assert.is(chooseCoordinator([c, b]), b.address)
   assert.is(chooseCoordinator([b, c]), b.address)
   assert.is(chooseCoordinator([]), undefined)
 })
 
-test('a node that comes back does not take the jobs from the one that replaced it', () => {
+test('a node that restarts does not take over from the node that replaced it', () => {
   assert.is(chooseCoordinator([{ ...a, incarnation: 30 }, b, c]), b.address)
 })
 
-test('the strongest host goes first, and a node of the hall before any other', () => {
+test('the host with the highest weight is preferred, and a node of the hall to any other', () => {
   assert.is(chooseCoordinator([a, b, { ...c, weight: 4 }]), c.address)
   assert.is(chooseCoordinator([a, b, c], 'y'), b.address)
   assert.is(chooseCoordinator([a, b, c], 'z'), a.address)
@@ -29,7 +29,7 @@
   return ['x', 'y', 'z'].flatMap(hall => ['r', 's'].flatMap(role => Array.from({ length: perHall }, () => ({ role, hall }))))
 }
 
-test('halls plan for themselves when each has some upstreams of every role', () => {
+test('each hall has its own plan if all halls have several upstreams of every role', () => {
   assert.equal(listPlans(createUpstreams(1), 'p'), [''])
   assert.equal([...listPlans(createUpstreams(3), 'p')].sort(), ['x', 'y', 'z'])
   assert.equal(listPlans(createUpstreams(3), 'p'), listPlans(createUpstreams(3).toReversed(), 'p'))
@@ -37,7 +37,7 @@
   assert.equal(listPlans([...createUpstreams(3), { role: 't', hall: 'x' }], 'p'), [''])
 })
 
-test('a job with homes is planned in these alone, also where one plan serves all other jobs', () => {
+test('a job with home halls is planned only there, even if one plan serves all other jobs', () => {
   assert.equal(listHomePlans(createUpstreams(1), 'p', ['y']), ['y'])
   assert.equal([...listHomePlans(createUpstreams(1), 'p', ['y', 'z', 'elsewhere'])].sort(), ['y', 'z'])
   assert.equal(listHomePlans(createUpstreams(1), 'p', []), [])
--- a/src/services/preparation/test/cutCalls.test.ts
+++ b/src/services/preparation/test/cutCalls.test.ts
@@ -3,34 +3,34 @@
 import type { PieceCallOutcome, PlannedCall } from '../common/plannedCall.ts'
 import { checkPreparationMessage } from '../common/preparationMessage.ts'
 import type { PreparationPlanner } from '../common/preparationPlanner.ts'
-import { createAll, createJob, createPlanner, createStage, takeEnds } from './fakes.ts'
+import { createSuccess, createJob, createPlanner, createStage, takeJobEnds } from './fakes.ts'
 
-const test = suite('cutCalls')
+const test = suite('lostCalls')
 
-const CUT: PieceCallOutcome = { kind: 'lost', reason: 'connection closed' }
-/** Longer than an upstream is left alone after a call that failed. */
-const LATER_MS = 1000
+const DISCONNECTED: PieceCallOutcome = { kind: 'lost', reason: 'connection closed' }
+/** Longer than the backoff of an upstream after a failed call. */
+const AFTER_BACKOFF_MS = 1000
 
 function listJobs (calls: readonly PlannedCall[]): readonly string[] {
   return calls.map(call => [...new Set(call.pieces.map(piece => piece.jobId))].sort().join('+'))
 }
 
-/** Starts what can be started and cuts it off. */
-function cutAll (planner: PreparationPlanner, now: number): readonly PlannedCall[] {
+/** Starts all calls that can start, and ends each by a closed connection. */
+function disconnectAll (planner: PreparationPlanner, now: number): readonly PlannedCall[] {
   const calls = planner.startCalls(now)
-  for (const call of calls) planner.settleCall(call.id, CUT, now + 10)
+  for (const call of calls) planner.settleCall(call.id, DISCONNECTED, now + 10)
   return calls
 }
 
-test('the owners of all pieces in a call that was cut off are told, and each piece goes on alone', () => {
+test('after a closed connection the owners of all pieces in the call are notified, and each piece is retried in its own call', () => {
   const planner = createPlanner({ upstreams: { a: 4 } })
   for (const id of ['x', 'y', 'z']) planner.addJob(createJob(id, [createStage('a', 1)]), 0)
-  const [first] = cutAll(planner, 0)
+  const [first] = disconnectAll(planner, 0)
   assert.equal(planner.takeNews(), ['x', 'y', 'z'].map(jobId => ({ kind: 'lost', jobId, upstreamId: first?.upstreamId, sentBeforeMs: 10 })))
-  assert.equal(listJobs(planner.startCalls(LATER_MS)), ['x', 'y', 'z'])
+  assert.equal(listJobs(planner.startCalls(AFTER_BACKOFF_MS)), ['x', 'y', 'z'])
 })
 
-test('a job that is suspect from its start shares no call with others', () => {
+test('a job that is suspect when submitted shares no call with other jobs', () => {
   const planner = createPlanner({ upstreams: { a: 2 } })
   planner.addJob(createJob('x', [createStage('a', 2)]), 0)
   planner.addJob(createJob('y', [createStage('a', 1)], { isSuspect: true }), 0)
@@ -38,20 +38,20 @@
   assert.equal(listJobs(planner.startCalls(0)), ['x+z', 'y'])
 })
 
-test('of the pieces of a job whose calls were cut off, no two calls are made at the same time', () => {
+test('a job whose calls lost their connections has at most one call in flight', () => {
   const planner = createPlanner({ upstreams: { a: 4 }, work: { maxPiecesPerCall: 1 } })
   planner.addJob(createJob('x', [createStage('a', 4)]), 0)
-  assert.is(cutAll(planner, 0).length, 4)
-  const calls = planner.startCalls(LATER_MS)
+  assert.is(disconnectAll(planner, 0).length, 4)
+  const calls = planner.startCalls(AFTER_BACKOFF_MS)
   assert.is(calls.length, 1)
-  assert.is(planner.startCalls(LATER_MS + 1).length, 0)
+  assert.is(planner.startCalls(AFTER_BACKOFF_MS + 1).length, 0)
   const [call] = calls
   assert.ok(call)
-  planner.settleCall(call.id, createAll(call), LATER_MS + 100)
-  assert.is(planner.startCalls(LATER_MS + 101).length, 1)
+  planner.settleCall(call.id, createSuccess(call), AFTER_BACKOFF_MS + 100)
+  assert.is(planner.startCalls(AFTER_BACKOFF_MS + 101).length, 1)
 })
 
-test('a call that may end its upstream runs beside no other, and best where none runs', () => {
+test('a call that may crash its upstream runs there alone, preferably at an idle upstream', () => {
   const planner = createPlanner({ upstreams: { a: 2 }, work: { concurrentCalls: 2, maxPiecesPerCall: 1 } })
   planner.addJob(createJob('w', [createStage('a', 1)]), 0)
   const [running] = planner.startCalls(0)
@@ -64,38 +64,38 @@
   assert.is(calls.filter(call => call.upstreamId === suspect.upstreamId).length, 1)
   planner.addJob(createJob('v', [createStage('a', 1)]), 2)
   assert.not(planner.startCalls(2).some(call => call.upstreamId === suspect.upstreamId))
-  planner.settleCall(suspect.id, createAll(suspect), 3)
+  planner.settleCall(suspect.id, createSuccess(suspect), 3)
   assert.ok(planner.startCalls(3).some(call => call.upstreamId === suspect.upstreamId))
 })
 
-test('a piece is given up with the third call that was cut off', () => {
+test('a job is refused after the third call for one of its pieces lost its connection', () => {
   const planner = createPlanner({ upstreams: { a: 4 } })
   planner.addJob(createJob('x', [createStage('a', 1)]), 0)
   const ends: number[] = []
   for (let round = 0; round < 3; round++) {
-    cutAll(planner, round * LATER_MS)
-    ends.push(takeEnds(planner).length)
+    disconnectAll(planner, round * AFTER_BACKOFF_MS)
+    ends.push(takeJobEnds(planner).length)
   }
   assert.equal(ends, [0, 0, 1])
 })
 
-test('a call to an upstream that is still there makes nobody suspect', () => {
+test('a failed call to an upstream that is still running makes no job suspect', () => {
   const planner = createPlanner({ upstreams: { a: 4 } })
   for (const id of ['x', 'y']) planner.addJob(createJob(id, [createStage('a', 1)]), 0)
   const [call] = planner.startCalls(0)
   assert.ok(call)
   planner.settleCall(call.id, { kind: 'lost', reason: 'status 500', isThere: true }, 10)
   assert.equal(planner.takeNews(), [])
-  assert.equal(listJobs(planner.startCalls(LATER_MS)), ['x+y'])
+  assert.equal(listJobs(planner.startCalls(AFTER_BACKOFF_MS)), ['x+y'])
 })
 
-test('what an owner is told of a call passes the check on arrival', () => {
-  const news = { kind: 'lost', jobId: 'x', upstreamId: 'a-0', sentBeforeMs: 12 }
-  assert.equal(checkPreparationMessage(news).extract(), news)
-  assert.ok(checkPreparationMessage({ ...news, sentBeforeMs: -1 }).isLeft())
+test('the notification of a lost call passes the message check of the receiver', () => {
+  const update = { kind: 'lost', jobId: 'x', upstreamId: 'a-0', sentBeforeMs: 12 }
+  assert.equal(checkPreparationMessage(update).extract(), update)
+  assert.ok(checkPreparationMessage({ ...update, sentBeforeMs: -1 }).isLeft())
 })
 
-test('a message of a kind that only newer senders know is told apart from a broken one', () => {
+test('a message of an unknown kind is distinguished from an invalid message', () => {
   const findName = (frame: unknown) => checkPreparationMessage(frame).swap().map(error => error.resultName).extract()
   assert.is(findName({ kind: 'novel', jobId: 'x' }), 'messageUnknown')
   assert.is(findName({ kind: 'release' }), 'frameInvalid')
--- a/src/services/preparation/test/fakes.ts
+++ b/src/services/preparation/test/fakes.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs and upstreams for tests of preparation.
+ * Jobs, planners and call outcomes for tests of preparation.
  */
 import type { JobStage, PreparationJob } from '../common/preparationJob.ts'
 import type { PieceWorkSpec } from '../common/pieceUpstream.ts'
@@ -27,7 +27,7 @@
 }
 
 export interface PlannerOptions {
-  /** How many upstreams each role has. */
+  /** The number of upstreams of each role. */
   readonly upstreams: Readonly<Record<string, number>>
   readonly work?: Partial<PieceWorkSpec>
   readonly targets?: readonly TargetCandidate[]
@@ -42,18 +42,18 @@
   return planner
 }
 
-export function createAll (call: PlannedCall): PieceCallOutcome {
+export function createSuccess (call: PlannedCall): PieceCallOutcome {
   return { kind: 'answered', pieces: call.pieces.map(piece => ({ kind: 'made', handle: `${call.upstreamId}/${call.id}.${piece.stage}.${piece.index}` })) }
 }
 
-/** Runs all calls, each for its expected time or so many times that, until nothing is left to do. */
-export function runToEnd (planner: PreparationPlanner, startAt: number, onDidStart: (call: PlannedCall, now: number) => void = () => {}, { slowness = 1 } = {}): number {
+/** Runs all calls to completion, each for its expected time multiplied by `slowdown`. Returns the time of the end. */
+export function runToCompletion (planner: PreparationPlanner, startAt: number, onDidStart: (call: PlannedCall, now: number) => void = () => {}, { slowness: slowdown = 1 } = {}): number {
   let now = startAt
   const running: { readonly call: PlannedCall, readonly endAt: number }[] = []
   const start = () => {
     for (const call of planner.startCalls(now)) {
       onDidStart(call, now)
-      running.push({ call, endAt: now + call.expectedMs * slowness })
+      running.push({ call, endAt: now + call.expectedMs * slowdown })
     }
   }
   for (start(); running.length > 0; start()) {
@@ -61,13 +61,13 @@
     const next = running.shift()
     if (next === undefined) break
     now = next.endAt
-    planner.settleCall(next.call.id, createAll(next.call), now)
+    planner.settleCall(next.call.id, createSuccess(next.call), now)
     for (const free of planner.takeFrees()) planner.settleFree(free, true, now)
   }
   return now
 }
 
-/** How jobs ended since the last time. */
-export function takeEnds (planner: PreparationPlanner): readonly JobEnd[] {
-  return planner.takeNews().flatMap(news => news.kind === 'prepared' || news.kind === 'refused' ? [news] : [])
+/** Takes all pending updates and returns those that end a job. */
+export function takeJobEnds (planner: PreparationPlanner): readonly JobEnd[] {
+  return planner.takeNews().flatMap(update => update.kind === 'prepared' || update.kind === 'refused' ? [update] : [])
 }
--- a/src/services/preparation/test/lostCoordinators.test.ts
+++ b/src/services/preparation/test/lostCoordinators.test.ts
@@ -1,8 +1,8 @@
-// When 28 of 61 hosts lost power at once, those that should have planned for two of three halls were among them, and so
-// were the next ones in the order. Each node found that out by itself, one after the other, 250 ms for each host that
-// did not answer: `event=coordinator_lost` named the same four hosts at 33 nodes, a quarter of a second apart. Nobody
-// planned for these halls for 1.25 s, and 143 requests whose callers had seconds to wait were refused as interrupted
-// (`event=preparation_moved moves=5`).
+// Guards against refusing jobs when many coordinators are lost together. When 28 of 61 hosts lost power at once, the
+// coordinators of two of three halls were among them, and so were the next four candidates. Each node dialled the lost
+// hosts one after the other, with a dial timeout of 250 ms each (`event=coordinator_lost` for the same four hosts at 33
+// nodes). These halls had no plan for 1.25 s, and 143 requests that could have waited for seconds were refused as
+// interrupted (`event=preparation_moved moves=5`).
 import { create } from '@bufbuild/protobuf'
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -23,10 +23,10 @@
 
 const test = suite('lostCoordinators')
 
-/** A host without power answers nothing; a dial is given up after this. */
+/** A host without power never answers, so the dial times out. */
 const DIAL_MS = 250
 const LOST_HOSTS = 6
-/** One dial that shows that a host was lost, one for all that come after it, and the job. */
+/** One dial that finds the first host lost, one for all lost hosts after it, and the job itself. */
 const MAX_WAIT_MS = 3 * DIAL_MS
 const OWN_ADDRESS = '127.0.0.1:1'
 
@@ -50,9 +50,9 @@
   const [near, far] = [0, 1].map(() => new PreparationCoordinator({ clock, log, protocol, registry, getTable: () => table }))
   assert.ok(near && far)
   const server = new PreparationServer(far, log)
-  const living = `127.0.0.1:${await server.listen('127.0.0.1', 0)}`
-  const lost = Array.from({ length: LOST_HOSTS }, (_item, index) => `127.0.0.1:${index + 10}`)
-  const candidates: readonly CoordinatorCandidate[] = [...lost, living, OWN_ADDRESS].map((address, index) => ({ address, hall: 'x', incarnation: index, weight: 1 }))
+  const liveAddress = `127.0.0.1:${await server.listen('127.0.0.1', 0)}`
+  const lostAddresses = Array.from({ length: LOST_HOSTS }, (_item, index) => `127.0.0.1:${index + 10}`)
+  const candidates: readonly CoordinatorCandidate[] = [...lostAddresses, liveAddress, OWN_ADDRESS].map((address, index) => ({ address, hall: 'x', incarnation: index, weight: 1 }))
   const opened: string[] = []
   const client = new PreparationClient({
     clock,
@@ -67,7 +67,7 @@
     listPieceUpstreams: () => registry.list(),
     openLink: async options => {
       opened.push(options.address)
-      if (options.address === living) return await CoordinatorLink.open(options)
+      if (options.address === liveAddress) return await CoordinatorLink.open(options)
       await new Promise(resolve => { setTimeout(resolve, DIAL_MS) })
       return undefined
     }
@@ -77,8 +77,8 @@
     const prepared = await client.prepare(createJob('j', [createStage('a', 1)]), new AbortController().signal)
     assert.ok(prepared.isRight(), 'the job was given up')
     assert.ok(performance.now() - startedAt < MAX_WAIT_MS)
-    assert.equal([...opened].sort(), [...lost, living].sort())
-    assert.not(near.holds('j'))
+    assert.equal([...opened].sort(), [...lostAddresses, liveAddress].sort())
+    assert.not(near.hasJob('j'))
   } finally {
     for (const part of [client, server, near, far]) part.dispose()
   }
--- a/src/services/preparation/test/planSearch.test.ts
+++ b/src/services/preparation/test/planSearch.test.ts
@@ -9,7 +9,7 @@
   assert.equal(new PlanSearch().choose([''], false), { hall: '', isOffer: false })
 })
 
-test('plans are asked in their order, and the one that would be done first gets what all decline', () => {
+test('plans are asked in order, and a job that all decline goes to the one that would finish it first', () => {
   const search = new PlanSearch()
   for (const [hall, endInMs] of [['x', 900], ['y', 700], ['z', 800]] as const) {
     assert.equal(search.choose(PLANS, false), { hall, isOffer: true })
@@ -18,7 +18,7 @@
   assert.equal(search.choose(PLANS, false), { hall: 'y', isOffer: false })
 })
 
-test('however many halls there are, no more than three are asked', () => {
+test('at most three halls are asked, however many there are', () => {
   const search = new PlanSearch()
   const halls = ['x', 'y', 'z', 'v', 'w']
   const asked = [900, 700, 800].map(endInMs => {
@@ -30,14 +30,14 @@
   assert.equal(search.choose(halls, false), { hall: 'y', isOffer: false })
 })
 
-test('a job stays where something was made for it, unless that hall has no plan any more', () => {
+test('a job stays in the hall that has computed results for it, unless that hall has no plan any more', () => {
   const search = new PlanSearch()
   search.choose(PLANS, false)
   assert.equal(search.choose(PLANS, true), { hall: 'x', isOffer: false })
   assert.equal(search.choose(['y', 'z'], true), { hall: 'y', isOffer: true })
 })
 
-test('a job that its plan gave up is offered to the others once more, and then its caller is told', () => {
+test('a job that its plan refused is offered to the other plans once more, and the next refusal is final', () => {
   const search = new PlanSearch()
   search.choose(PLANS, false)
   search.noteDeclined(900)
@@ -51,7 +51,7 @@
   assert.not(search.noteRefused(PLANS))
 })
 
-test('with one plan the caller is told at once', () => {
+test('with a single plan a refusal is final at once', () => {
   const search = new PlanSearch()
   search.choose([''], false)
   assert.not(search.noteRefused(['']))
--- a/src/services/preparation/test/prefixBook.test.ts
+++ b/src/services/preparation/test/prefixBook.test.ts
@@ -7,7 +7,7 @@
 const COMMON = { key: 'system', tokens: 100 }
 const SHARED = [COMMON, { key: 'system/topic', tokens: 300 }]
 
-test('the longest beginning that an upstream keeps counts', () => {
+test('the longest prefix that an upstream has cached is counted', () => {
   const book = new PrefixBook()
   book.add(SHARED, 'a', 0)
   assert.is(book.countKept(SHARED, 'a', 10), 300)
@@ -15,7 +15,7 @@
   assert.is(book.countKept(SHARED, 'b', 10), 0)
 })
 
-test('what an upstream kept is forgotten with it, and after a minute', () => {
+test('cached prefixes are forgotten when their upstream is dropped, and after one minute', () => {
   const book = new PrefixBook()
   book.add(SHARED, 'a', 0)
   assert.is(book.countKept(SHARED, 'a', 60_000), 0)
@@ -24,7 +24,7 @@
   assert.not(book.isKnown(SHARED))
 })
 
-test('another book goes on from its notes, and an older note does not hide a newer one', () => {
+test('another book can be filled from the list, and an older entry does not replace a newer one', () => {
   const book = new PrefixBook()
   book.add(SHARED, 'a', 1000)
   const other = new PrefixBook()
--- a/src/services/preparation/test/preparationCoordinator.test.ts
+++ b/src/services/preparation/test/preparationCoordinator.test.ts
@@ -14,10 +14,10 @@
 
 const test = suite('preparationCoordinator')
 
-/** Stands for an owner's connection. */
+/** Represents the connection of an owner. */
 const LINK = {}
 
-/** Makes every piece at once and remembers what it was asked. */
+/** Computes every piece at once, and records the halls that were called and the handles that were freed. */
 class FakePieces extends PieceProtocol {
   readonly freed: string[] = []
   readonly halls: string[] = []
@@ -33,11 +33,11 @@
   }
 }
 
-async function runWith (run: (parts: { readonly coordinator: PreparationCoordinator, readonly pieces: FakePieces, readonly news: JobNews[], readonly advance: (ms: number) => Promise<void> }) => Promise<void>): Promise<void> {
+async function runWith (run: (parts: { readonly coordinator: PreparationCoordinator, readonly pieces: FakePieces, readonly updates: JobNews[], readonly advance: (ms: number) => Promise<void> }) => Promise<void>): Promise<void> {
   const clock = new VirtualClock()
   const registry = new UpstreamRegistry()
   const pieces = new FakePieces()
-  const news: JobNews[] = []
+  const updates: JobNews[] = []
   const work = { concurrentCalls: 1, maxPiecesPerCall: 4, callMs: 100, pieceMs: 10, resultRoomBytes: 1000, resultLifetimeMs: 4000 }
   const table = new RelayTable(create(RelaySchema, { roles: ['a', 'b'].map(name => ({ name, pieceWork: work })) }))
   const coordinator = new PreparationCoordinator({ clock, log: new LogService({ program: 'test', silent: true }), protocol: pieces, registry, getTable: () => table })
@@ -49,118 +49,118 @@
       await new Promise(resolve => { setImmediate(resolve) })
     }
   }
-  await run({ coordinator, pieces, news, advance })
+  await run({ coordinator, pieces, updates, advance })
   coordinator.dispose()
 }
 
 for (const order of [['release', 'report'], ['report', 'release']] as const) {
-  test(`results are given back and the job is forgotten when ${order.join(' and ')} come in this order`, () => runWith(async ({ coordinator, pieces, news, advance }) => {
-    coordinator.submit({ job: createJob('j', [createStage('a', 2)]), hall: '' }, item => news.push(item))
+  test(`results are freed and the job is forgotten after ${order.join(' and ')} in this order`, () => runWith(async ({ coordinator, pieces, updates, advance }) => {
+    coordinator.submit({ job: createJob('j', [createStage('a', 2)]), hall: '' }, update => updates.push(update))
     await advance(50)
-    assert.is(news.at(-1)?.kind, 'prepared')
+    assert.is(updates.at(-1)?.kind, 'prepared')
     for (const step of order) {
       if (step === 'release') coordinator.release('j')
       else coordinator.report('j', { outcome: 'produced', producedMs: 10 })
     }
     await advance(50)
     assert.equal([...pieces.freed].sort(), ['j/0.0', 'j/0.1'])
-    assert.not(coordinator.holds('j'))
+    assert.not(coordinator.hasJob('j'))
   }))
 }
 
-test('a job that its owner gives up before its end is forgotten at once', () => runWith(async ({ coordinator, pieces, news, advance }) => {
-  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: '' }, item => news.push(item))
+test('a job that its owner releases before its end is forgotten at once', () => runWith(async ({ coordinator, pieces, updates, advance }) => {
+  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: '' }, update => updates.push(update))
   coordinator.release('j')
-  assert.not(coordinator.holds('j'))
+  assert.not(coordinator.hasJob('j'))
   await advance(50)
-  assert.equal(news, [])
+  assert.equal(updates, [])
   assert.equal(pieces.halls, [])
 }))
 
-test('the plan of a hall uses the upstreams of that hall only', () => runWith(async ({ coordinator, pieces, news, advance }) => {
-  for (const id of ['j', 'k', 'l']) coordinator.submit({ job: createJob(id, [createStage('a', 4)]), hall: 'y' }, item => news.push(item))
+test('the plan of a hall uses the upstreams of that hall only', () => runWith(async ({ coordinator, pieces, updates, advance }) => {
+  for (const id of ['j', 'k', 'l']) coordinator.submit({ job: createJob(id, [createStage('a', 4)]), hall: 'y' }, update => updates.push(update))
   await advance(100)
-  assert.is(news.length, 3)
+  assert.is(updates.length, 3)
   assert.equal([...new Set(pieces.halls)], ['y'])
 }))
 
-test('a plan without upstreams refuses at once', () => runWith(async ({ coordinator, news }) => {
-  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: 'z' }, item => news.push(item))
-  assert.ok(news[0]?.kind === 'refused' && news[0].refusal.reason === 'noUpstream')
+test('a plan without upstreams refuses at once', () => runWith(async ({ coordinator, updates }) => {
+  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: 'z' }, update => updates.push(update))
+  assert.ok(updates[0]?.kind === 'refused' && updates[0].refusal.reason === 'noUpstream')
 }))
 
-test('a coordinator that ends leaves jobs and their results to the next one', () => runWith(async ({ coordinator, pieces, news, advance }) => {
-  coordinator.submit({ job: createJob('j', [createStage('a', 8), createStage('b', 1, [0], 5000)]), hall: '' }, item => news.push(item))
+test('a draining coordinator moves jobs and their results to the next one', () => runWith(async ({ coordinator, pieces, updates, advance }) => {
+  coordinator.submit({ job: createJob('j', [createStage('a', 8), createStage('b', 1, [0], 5000)]), hall: '' }, update => updates.push(update))
   await advance(50)
-  const made = news.flatMap(item => item.kind === 'made' ? item.pieces : [])
-  assert.is(made.length, 8)
+  const computed = updates.flatMap(update => update.kind === 'made' ? update.pieces : [])
+  assert.is(computed.length, 8)
   coordinator.moveJobs()
-  assert.is(news.at(-1)?.kind, 'moved')
-  assert.not(coordinator.holds('j'))
+  assert.is(updates.at(-1)?.kind, 'moved')
+  assert.not(coordinator.hasJob('j'))
   await advance(50)
   assert.equal(pieces.freed, [])
 }))
 
-test('a plan that another coordinator should keep goes there, and what comes later starts a new one', () => runWith(async ({ coordinator, news, advance }) => {
-  coordinator.submit({ job: createJob('j', [createStage('b', 1, [], 5000)]), hall: 'x' }, item => news.push(item))
-  coordinator.submit({ job: createJob('k', [createStage('a', 1, [], 5000)]), hall: 'y' }, item => news.push(item))
+test('the jobs of a plan move to the coordinator that is responsible, and a later job starts a new plan', () => runWith(async ({ coordinator, updates, advance }) => {
+  coordinator.submit({ job: createJob('j', [createStage('b', 1, [], 5000)]), hall: 'x' }, update => updates.push(update))
+  coordinator.submit({ job: createJob('k', [createStage('a', 1, [], 5000)]), hall: 'y' }, update => updates.push(update))
   await advance(20)
-  coordinator.moveJobsOf(hall => hall === 'x')
-  assert.equal(news, [{ kind: 'moved', jobId: 'j' }])
-  assert.ok(coordinator.holds('k'))
-  coordinator.submit({ job: createJob('l', [createStage('b', 1)]), hall: 'x' }, item => news.push(item))
+  coordinator.movePlans(hall => hall === 'x')
+  assert.equal(updates, [{ kind: 'moved', jobId: 'j' }])
+  assert.ok(coordinator.hasJob('k'))
+  coordinator.submit({ job: createJob('l', [createStage('b', 1)]), hall: 'x' }, update => updates.push(update))
   await advance(50)
-  assert.is(news.at(-1)?.kind, 'prepared')
+  assert.is(updates.at(-1)?.kind, 'prepared')
 }))
 
-test('a coordinator that ends takes no job', () => runWith(async ({ coordinator, news }) => {
+test('a draining coordinator accepts no job', () => runWith(async ({ coordinator, updates }) => {
   coordinator.moveJobs()
-  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: '' }, item => news.push(item))
-  assert.equal(news, [{ kind: 'moved', jobId: 'j' }])
+  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: '' }, update => updates.push(update))
+  assert.equal(updates, [{ kind: 'moved', jobId: 'j' }])
 }))
 
-test('the results of a job whose owner is out of reach are given back only when they must have been taken over', () => runWith(async ({ coordinator, pieces, news, advance }) => {
-  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: '', link: LINK }, item => news.push(item))
+test('the results of a job whose owner is unreachable are freed only after another coordinator must have used them', () => runWith(async ({ coordinator, pieces, updates, advance }) => {
+  coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: '', link: LINK }, update => updates.push(update))
   await advance(50)
   coordinator.detach('j', LINK)
   await advance(1000)
   assert.equal(pieces.freed, [])
   await advance(1000)
   assert.equal(pieces.freed, ['j/0.0'])
-  assert.not(coordinator.holds('j'))
+  assert.not(coordinator.hasJob('j'))
 }))
 
-test('the end of an old link does not take a job from the owner that came back over a new one', () => runWith(async ({ coordinator, news, advance }) => {
+test('the close of an old link does not detach a job that its owner submitted again over a new link', () => runWith(async ({ coordinator, updates, advance }) => {
   const job = createJob('j', [createStage('a', 1)])
   const [oldLink, newLink] = [{}, {}]
   coordinator.submit({ job, hall: '', link: oldLink }, () => {})
-  coordinator.submit({ job, hall: '', link: newLink }, item => news.push(item))
+  coordinator.submit({ job, hall: '', link: newLink }, update => updates.push(update))
   coordinator.detach('j', oldLink)
   await advance(50)
-  assert.is(news.at(-1)?.kind, 'prepared')
+  assert.is(updates.at(-1)?.kind, 'prepared')
 }))
 
-test('an owner that comes back goes on with the results that it has', () => runWith(async ({ coordinator, pieces, news, advance }) => {
+test('a job that its owner submits again continues with the results that the owner has', () => runWith(async ({ coordinator, pieces, updates, advance }) => {
   const job = createJob('j', [createStage('a', 1)])
-  coordinator.submit({ job, hall: '', link: LINK }, item => news.push(item))
+  coordinator.submit({ job, hall: '', link: LINK }, update => updates.push(update))
   await advance(50)
   coordinator.detach('j', LINK)
   const carried = [{ stage: 0, index: 0, result: { handle: 'j/0.0', upstreamId: 'a-x' }, ageMs: 50 }]
-  coordinator.submit({ job, hall: '', carried }, item => news.push(item))
+  coordinator.submit({ job, hall: '', carried }, update => updates.push(update))
   await advance(2000)
-  assert.equal(news.map(item => item.kind), ['prepared', 'prepared'])
+  assert.equal(updates.map(update => update.kind), ['prepared', 'prepared'])
   assert.is(pieces.halls.length, 1)
   assert.equal(pieces.freed, [])
 }))
 
-test('an owner that asks again over a new link is told what was said into the silence of the old one', () => runWith(async ({ coordinator, pieces, news, advance }) => {
+test('an owner that submits a job again over a new link receives the updates that were lost on the stalled old link', () => runWith(async ({ coordinator, pieces, updates, advance }) => {
   const job = createJob('j', [createStage('a', 1)])
   coordinator.submit({ job, hall: '', link: {} }, () => {})
   await advance(50)
   const carried = [{ stage: 0, index: 0, result: { handle: 'j/0.0', upstreamId: 'a-x' }, ageMs: 50 }]
-  coordinator.submit({ job, hall: '', link: LINK, carried }, item => news.push(item))
+  coordinator.submit({ job, hall: '', link: LINK, carried }, update => updates.push(update))
   await advance(50)
-  assert.equal(news.map(item => item.kind), ['prepared'])
+  assert.equal(updates.map(update => update.kind), ['prepared'])
   assert.is(pieces.halls.length, 1)
 }))
 
--- a/src/services/preparation/test/silentCoordinator.test.ts
+++ b/src/services/preparation/test/silentCoordinator.test.ts
@@ -1,9 +1,11 @@
 /**
- * Symptom: when all open connections between nodes went silent, jobs moved from one coordinator to the next, each found
- * silent in turn, while the coordinator that all should use was alive: one node lost four in 0.9 s. Plans were divided,
- * and upstreams were called by several nodes that did not see each other's results in their room.
+ * Guards against moving jobs away from a live coordinator whose connection stalled.
  *
- * Cause: a silent connection was taken for a lost coordinator, which was then left alone for a time.
+ * Symptom: when all open connections between nodes stalled, jobs moved from one coordinator to the next, and each link
+ * timed out in turn (four within 0.9 s at one node), while the right coordinator was alive. Several nodes then planned for
+ * the same upstreams without counting each other's results in the result capacity.
+ *
+ * Cause: a stalled connection was treated as a lost coordinator, followed by a backoff from that coordinator.
  */
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -26,7 +28,7 @@
 const test = suite('silentCoordinator')
 
 const UPSTREAM: UpstreamEntry = { id: 'a-0', role: 'a', address: '127.0.0.1:1', hall: 'x', slots: 1, isLeaving: false }
-/** A silent coordinator is noticed within 750 ms. */
+/** A stalled connection is detected within 750 ms. */
 const MAX_WAIT_MS = 1500
 
 class FakePieces extends PieceProtocol {
@@ -53,7 +55,7 @@
   return { clock, log, registry, pieces, coordinator }
 }
 
-test('a coordinator whose connection went silent is asked again over a new one', async () => {
+test('a coordinator whose connection stalled is retried over a new connection', async () => {
   const far = createNode()
   const near = createNode()
   const server = new PreparationServer(far.coordinator, far.log)
--- a/src/services/preparation/test/targetPlanner.test.ts
+++ b/src/services/preparation/test/targetPlanner.test.ts
@@ -14,68 +14,68 @@
 
 const candidates = [{ id: 'a', hall: 'h1' }, { id: 'b', hall: 'h2' }, { id: 'c', hall: 'h3' }].map(candidate => ({ ...candidate, msPerMovedToken: Infinity }))
 
-/** Sends a request to a target that has to read all of it, or so much. */
+/** Assigns a request to a target that has to process `readTokens` of its input tokens, by default all. */
 function assign (planner: TargetPlanner, jobId: string, request: RequestShape, targetId: string, now: number, readTokens = request.inputTokens): void {
   planner.assign({ jobId, shape: request, targetId, readTokens }, now)
 }
 
-function ask (options: Partial<TargetQuestion> = {}): TargetQuestion {
+function createQuestion (options: Partial<TargetQuestion> = {}): TargetQuestion {
   return { shape, candidates, bytesByHall: new Map(), waitByHall: new Map(), ...options }
 }
 
-test('a prompt goes back to where its shared parts were read', () => {
+test('a prompt is sent to the upstream that has processed its shared prefix', () => {
   const planner = new TargetPlanner()
   assign(planner, 'x', shape, 'b', 0)
   planner.settle('x', { outcome: 'produced', producedMs: 275 }, 300)
-  assert.is(planner.choose(ask(), 400)?.id, 'b')
-  assert.ok((planner.choose(ask(), 400)?.costMs ?? 0) < 100)
+  assert.is(planner.choose(createQuestion(), 400)?.id, 'b')
+  assert.ok((planner.choose(createQuestion(), 400)?.costMs ?? 0) < 100)
 })
 
-test('it goes elsewhere when that upstream has more to read than the shared parts', () => {
+test('a prompt is sent to another upstream if the one with its prefix has too many tokens queued', () => {
   const planner = new TargetPlanner()
   assign(planner, 'x', shape, 'b', 0)
   for (let index = 0; index < 4; index++) assign(planner, `y${index}`, createShape(`q${index}`), 'b', 0)
-  assert.is.not(planner.choose(ask(), 400)?.id, 'b')
+  assert.is.not(planner.choose(createQuestion(), 400)?.id, 'b')
 })
 
-test('two coordinators that know nothing choose the same upstream for a prompt', () => {
+test('two coordinators without any records choose the same upstream for a prompt', () => {
   for (const prefix of ['p', 'q', 'r', 's']) {
-    const question = ask({ shape: createShape(prefix) })
+    const question = createQuestion({ shape: createShape(prefix) })
     assert.is(new TargetPlanner().choose(question, 0)?.id, new TargetPlanner().choose(question, 5000)?.id)
   }
 })
 
-test('large results draw a request that shares nothing into their hall', () => {
+test('a request without shared prefix is sent to the hall that holds its large results', () => {
   const planner = new TargetPlanner()
   const small = { ...shape, shared: [], inputTokens: 1000 }
-  assert.is(planner.choose(ask({ shape: small, bytesByHall: new Map([['h3', 6e6]]) }), 0)?.id, 'c')
+  assert.is(planner.choose(createQuestion({ shape: small, bytesByHall: new Map([['h3', 6e6]]) }), 0)?.id, 'c')
 })
 
-test('an upstream from which several requests hear nothing is left out until one hears again', () => {
+test('an upstream that leaves several requests unanswered is excluded until it answers one', () => {
   const planner = new TargetPlanner()
   assign(planner, 'x', shape, 'b', 0)
   planner.settle('x', { outcome: 'produced', producedMs: 275 }, 275)
   assign(planner, 'silent1', shape, 'b', 300, 3000)
   assign(planner, 'silent2', shape, 'b', 320, 3000)
-  assert.is(planner.choose(ask(), 600)?.id, 'b')
-  assert.is.not(planner.choose(ask(), 2000)?.id, 'b')
+  assert.is(planner.choose(createQuestion(), 600)?.id, 'b')
+  assert.is.not(planner.choose(createQuestion(), 2000)?.id, 'b')
   planner.settle('silent1', { outcome: 'produced', producedMs: 1750 }, 2050)
-  assert.is(planner.choose(ask(), 2060)?.id, 'b')
+  assert.is(planner.choose(createQuestion(), 2060)?.id, 'b')
 })
 
-test('one request that hears nothing says little, and neither does an upstream that answers others', () => {
+test('an upstream is not excluded for a single unanswered request, nor while it answers other requests', () => {
   const alone = new TargetPlanner()
   assign(alone, 'x', shape, 'b', 0)
-  assert.is(alone.choose(ask(), 5000)?.id, 'b')
+  assert.is(alone.choose(createQuestion(), 5000)?.id, 'b')
   const busy = new TargetPlanner()
   assign(busy, 'x', shape, 'b', 0)
   assign(busy, 'y', shape, 'b', 0, 3000)
   assign(busy, 'z', shape, 'b', 1800, 3000)
   busy.settle('z', { outcome: 'produced', producedMs: 100 }, 1900)
-  assert.is(busy.choose(ask(), 2000)?.id, 'b')
+  assert.is(busy.choose(createQuestion(), 2000)?.id, 'b')
 })
 
-test('a slow upstream is measured as such, and a failing one is left out', () => {
+test('a slow upstream is recognized as slow, and a failing one is excluded', () => {
   const planner = new TargetPlanner()
   const unshared = { ...shape, shared: [] }
   for (let index = 0; index < 10; index++) {
@@ -84,10 +84,10 @@
     assign(planner, `b${index}`, unshared, 'b', 0)
     planner.settle(`b${index}`, { outcome: 'failed', producedMs: 0 }, 0)
   }
-  assert.is(planner.choose(ask({ shape: unshared }), 10)?.id, 'c')
+  assert.is(planner.choose(createQuestion({ shape: unshared }), 10)?.id, 'c')
 })
 
-test('what was assigned and never reported is not counted twice', () => {
+test('a request that is assigned again before any report is not counted twice', () => {
   const planner = new TargetPlanner()
   assign(planner, 'x', shape, 'a', 0)
   assign(planner, 'x', shape, 'b', 0)
@@ -95,7 +95,7 @@
   assert.ok(planner.describe().every(target => (target as { readonly pendingTokens: number }).pendingTokens === 0))
 })
 
-test('inputs are held for longer after one was missing, and by and by for less again', () => {
+test('the release delay of inputs increases after one was missing, and then gradually decreases again', () => {
   const delay = new ReleaseDelay()
   const first = delay.compute(0)
   assert.ok(delay.compute(10e6) > first)
@@ -105,25 +105,25 @@
   assert.is(delay.compute(0), first)
 })
 
-test('shared parts are taken from the upstream that keeps them where the target would have to read them', () => {
+test('a target that lacks a shared prefix fetches it from the upstream that has it cached', () => {
   const planner = new TargetPlanner()
   const linked = candidates.map(candidate => ({ ...candidate, msPerMovedToken: 0.005 }))
   assign(planner, 'x', shape, 'b', 0)
   planner.settle('x', { outcome: 'produced', producedMs: 275 }, 300)
-  assert.equal([planner.choose(ask({ candidates: linked }), 400)].map(choice => [choice?.id, choice?.prefixSourceId, choice?.readTokens]), [['b', '', 3000]])
+  assert.equal([planner.choose(createQuestion({ candidates: linked }), 400)].map(choice => [choice?.id, choice?.prefixSourceId, choice?.readTokens]), [['b', '', 3000]])
   for (let index = 0; index < 4; index++) assign(planner, `y${index}`, createShape(`q${index}`), 'b', 400)
-  const choice = planner.choose(ask({ candidates: linked }), 500)
+  const choice = planner.choose(createQuestion({ candidates: linked }), 500)
   assert.is.not(choice?.id, 'b')
   assert.equal([choice?.prefixSourceId, choice?.readTokens], ['b', 3000])
-  assert.is(planner.choose(ask(), 500)?.prefixSourceId, '')
+  assert.is(planner.choose(createQuestion(), 500)?.prefixSourceId, '')
 })
 
-test('nothing is taken from an upstream that is gone', () => {
+test('no prefix is fetched from an upstream that is gone', () => {
   const planner = new TargetPlanner()
   const linked = candidates.map(candidate => ({ ...candidate, msPerMovedToken: 0.005 }))
   assign(planner, 'x', shape, 'b', 0)
   const without = linked.filter(({ id }) => id !== 'b')
-  assert.is(planner.choose(ask({ candidates: without }), 100)?.prefixSourceId, '')
+  assert.is(planner.choose(createQuestion({ candidates: without }), 100)?.prefixSourceId, '')
 })
 
 test.run()
