--- a/src/services/relay/common/attemptDecision.ts
+++ b/src/services/relay/common/attemptDecision.ts
@@ -1,37 +1,37 @@
 /**
- * What follows an attempt that did not deliver an answer. One function decides, from what is known to have run.
+ * Decides what follows an attempt, depending on whether the upstream may have run the request.
  */
 import type { NotRunReason } from './relayProtocol.ts'
 
 /** How an attempt ended. */
 export type AttemptOutcome =
-  /** The answer went to the caller, to its end. */
+  /** The complete answer was sent to the caller. */
   | { readonly kind: 'delivered' }
   /** The upstream did not run the request. */
   | { readonly kind: 'notRun', readonly reason: NotRunReason }
-  /** The upstream ran the request and answered with a failure of its own. */
+  /** The upstream ran the request and answered with an error status. */
   | { readonly kind: 'failed', readonly status: number }
-  /** It was sent, and what became of it is not known; nothing of an answer reached the caller. */
+  /** The request was sent and its outcome is unknown; the caller has received no part of an answer. */
   | { readonly kind: 'lost', readonly reason: string }
-  /** A stream broke off after the caller had a part of it. */
+  /** The answer ended early after the caller had received a part of it. */
   | { readonly kind: 'broken', readonly lastEventId: string | undefined, readonly reason: string }
-  /** The caller left. */
+  /** The run was aborted: the caller disconnected, the deadline passed, or this node is stopping. */
   | { readonly kind: 'cancelled' }
 
-export interface AttemptInputs {
+export interface AttemptDecisionInputs {
   readonly outcome: AttemptOutcome
-  /** The request may run more than once from its start, or from the last event of a stream. */
+  /** The request may run more than once: from its start, or (`isResumable`) from the last event of a stream. */
   readonly isRepeatable: boolean
   readonly isResumable: boolean
-  /** Upstreams that may have run the request, this one included. */
+  /** Attempts that may have run the request, the last one included. */
   readonly runCount: number
-  /** Upstreams that it was sent to, this one included. */
+  /** Attempts that were sent, the last one included. */
   readonly sendCount: number
   readonly maxAttempts: number
-  /** Upstreams that ended under this request, in this try and in earlier ones. */
-  readonly endedCount: number
+  /** Upstreams that crashed while running this request, earlier tries of the caller included. */
+  readonly crashCount: number
   readonly timeLeftMs: number
-  /** Less time than this is not worth a further attempt. */
+  /** No further attempt is made with less time left than this. */
   readonly minTimeMs: number
 }
 
@@ -39,54 +39,54 @@
   | { readonly kind: 'end' }
   /** Another attempt, if the retry budget allows it. */
   | { readonly kind: 'retry', readonly isResume: boolean }
-  /** Preparation has to make its results anew first. */
+  /** Another attempt, after preparation has computed the results again. */
   | { readonly kind: 'prepareAgain' }
-  /** Hand on the failure that the upstream answered with. */
+  /** Forward the upstream's error response to the caller. */
   | { readonly kind: 'passOn' }
-  /** End with an error of our own. */
+  /** Answer with an error of this node. */
   | { readonly kind: 'refuse', readonly isNotRun: boolean }
-  /** A part was handed over and the rest will not come: cut the answer so that it cannot be taken for whole. */
+  /** A part was forwarded and the rest will not come: abort the connection, so that the answer is not considered complete. */
   | { readonly kind: 'cut' }
 
-/** Upstreams that turn a request away cost nothing but budget; beyond so many the fleet is taken for full. */
+/** Sends beyond `maxAttempts` for upstreams that refused the request without running it; after these the role is considered full. */
 const MAX_EXTRA_SENDS = 2
-/** A request under which so many upstreams ended is not sent to another within the try: one end may be chance. */
-const MAX_ENDED = 2
+/** After so many crashes the request is not sent again within the same run; a single crash may be a coincidence. */
+const MAX_CRASHES = 2
 
-export function decideAfterAttempt (inputs: AttemptInputs): AttemptDecision {
+export function decideAfterAttempt (inputs: AttemptDecisionInputs): AttemptDecision {
   const { outcome } = inputs
   if (outcome.kind === 'delivered' || outcome.kind === 'cancelled') return { kind: 'end' }
   if (outcome.kind === 'notRun') return decideAfterNotRun(inputs, outcome.reason)
-  const mayRunAgain = inputs.isRepeatable && inputs.runCount < inputs.maxAttempts && inputs.endedCount < MAX_ENDED && inputs.timeLeftMs >= inputs.minTimeMs
-  if (outcome.kind === 'broken') return mayRunAgain && inputs.isResumable ? { kind: 'retry', isResume: true } : { kind: 'cut' }
-  if (mayRunAgain) return { kind: 'retry', isResume: false }
+  const canRunAgain = inputs.isRepeatable && inputs.runCount < inputs.maxAttempts && inputs.crashCount < MAX_CRASHES && inputs.timeLeftMs >= inputs.minTimeMs
+  if (outcome.kind === 'broken') return canRunAgain && inputs.isResumable ? { kind: 'retry', isResume: true } : { kind: 'cut' }
+  if (canRunAgain) return { kind: 'retry', isResume: false }
   return outcome.kind === 'failed' ? { kind: 'passOn' } : { kind: 'refuse', isNotRun: false }
 }
 
-function decideAfterNotRun (inputs: AttemptInputs, reason: NotRunReason): AttemptDecision {
+function decideAfterNotRun (inputs: AttemptDecisionInputs, reason: NotRunReason): AttemptDecision {
   const hasTime = inputs.timeLeftMs >= inputs.minTimeMs
-  const mayStillRun = inputs.runCount < inputs.maxAttempts && inputs.sendCount < inputs.maxAttempts + MAX_EXTRA_SENDS
-  if (reason === 'inputMissing' && hasTime && mayStillRun) return { kind: 'prepareAgain' }
-  if (reason !== 'refused' && hasTime && mayStillRun) return { kind: 'retry', isResume: false }
+  const canSendAgain = inputs.runCount < inputs.maxAttempts && inputs.sendCount < inputs.maxAttempts + MAX_EXTRA_SENDS
+  if (reason === 'inputMissing' && hasTime && canSendAgain) return { kind: 'prepareAgain' }
+  if (reason !== 'refused' && hasTime && canSendAgain) return { kind: 'retry', isResume: false }
   return { kind: 'refuse', isNotRun: inputs.runCount === 0 }
 }
 
-/** Whether the upstream is to blame: one that accepts no connection may be gone long before its entry is. */
-export function hasFailedUpstream (outcome: AttemptOutcome): boolean {
+/** A refused connection counts as well: an upstream may be gone long before its entry is removed from the list. */
+export function isUpstreamFailure (outcome: AttemptOutcome): boolean {
   return outcome.kind === 'lost' || outcome.kind === 'failed' || (outcome.kind === 'notRun' && outcome.reason === 'unreachable')
 }
 
-/** The upstream began to work on the request, whatever became of it. */
-export function hasTaken (outcome: AttemptOutcome): boolean {
+/** Whether the upstream accepted the request and began to work on it. */
+export function isAccepted (outcome: AttemptOutcome): boolean {
   return outcome.kind === 'delivered' || outcome.kind === 'failed' || outcome.kind === 'broken'
 }
 
-/** Nothing was written, since the upstream was to get nothing more by then. */
+/** Whether nothing was written, because the upstream must not receive requests any more. */
 export function isWithheld (outcome: AttemptOutcome): boolean {
   return outcome.kind === 'notRun' && outcome.reason === 'withheld'
 }
 
-/** The connection ended before the answer did. */
-export function hasLostRun (outcome: AttemptOutcome): boolean {
+/** Whether the connection ended, or was closed, before the answer was complete. */
+export function isConnectionLost (outcome: AttemptOutcome): boolean {
   return outcome.kind === 'lost' || outcome.kind === 'broken'
 }
--- a/src/services/relay/common/eventSplitter.ts
+++ b/src/services/relay/common/eventSplitter.ts
@@ -1,8 +1,9 @@
 /**
- * Cuts a stream of server-sent events into whole events, byte for byte, so that a part of one is never handed on.
+ * Splits a stream of server-sent events into complete events without changing a byte, so that a partial event is never
+ * forwarded.
  */
 
-/** One event with the blank line that ends it. */
+/** One event, including the blank line that terminates it. */
 export interface StreamEvent {
   readonly bytes: Buffer
   readonly id: string | undefined
@@ -10,13 +11,13 @@
 
 const LINE_FEED = 0x0a
 const CARRIAGE_RETURN = 0x0d
-/** An event larger than this is not held back whole. */
+/** A stream with a larger event is considered broken, which bounds the buffer. */
 const MAX_EVENT_BYTES = 1024 * 1024
 
 export class EventSplitter {
   private _pending: Buffer = Buffer.alloc(0)
 
-  /** Bytes of an event that has not ended. */
+  /** Number of buffered bytes that belong to an incomplete event. */
   get pendingBytes (): number {
     return this._pending.length
   }
@@ -25,7 +26,7 @@
     return this._pending.length > MAX_EVENT_BYTES
   }
 
-  /** The events that the new bytes complete. */
+  /** Returns the events that are complete with the added bytes. */
   add (part: Buffer): readonly StreamEvent[] {
     let rest = this._pending.length === 0 ? part : Buffer.concat([this._pending, part])
     const events: StreamEvent[] = []
@@ -39,11 +40,11 @@
   }
 }
 
-/** The offset behind the first blank line; 0 when there is none. */
+/** Returns the offset after the first blank line, or 0 if there is none. */
 function findEventEnd (bytes: Buffer): number {
-  for (let at = bytes.indexOf(LINE_FEED); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
-    if (bytes[at + 1] === LINE_FEED) return at + 2
-    if (bytes[at + 1] === CARRIAGE_RETURN && bytes[at + 2] === LINE_FEED) return at + 3
+  for (let index = bytes.indexOf(LINE_FEED); index >= 0; index = bytes.indexOf(LINE_FEED, index + 1)) {
+    if (bytes[index + 1] === LINE_FEED) return index + 2
+    if (bytes[index + 1] === CARRIAGE_RETURN && bytes[index + 2] === LINE_FEED) return index + 3
   }
   return 0
 }
--- a/src/services/relay/common/preparationNeed.ts
+++ b/src/services/relay/common/preparationNeed.ts
@@ -1,5 +1,5 @@
 /**
- * From a request and its route to the job that prepares it.
+ * Creates the preparation job of a request from its route.
  */
 import type { Route } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { MAX_EXCLUDED_TARGETS } from '../../preparation/common/preparationMessage.ts'
@@ -7,46 +7,46 @@
 import { listSharedPrefixes } from './relayRequest.ts'
 import type { RelayRequest } from './relayRequest.ts'
 
-export interface PreparationNeedInputs {
+export interface PreparationJobInputs {
   readonly request: RelayRequest
   readonly route: Route
   /** The role of the upstreams that the request goes to. */
   readonly role: string
   readonly priority: number
-  /** The only halls that may serve it; undefined for all. */
+  /** The only halls that may serve the request; undefined for all. */
   readonly homeHalls?: readonly string[] | undefined
-  /** Upstreams of the role that the request cannot go to now. */
+  /** Upstreams of the role that cannot accept the request now. */
   readonly excludedTargets?: readonly string[]
   readonly deadlineInMs: number
-  /** Upstreams have ended under it. */
+  /** Upstreams have crashed while they ran the request. */
   readonly isSuspect: boolean
 }
 
-/** Shared parts this long are worth asking which upstream keeps them: reading them takes longer than the question. */
-const MIN_ASKED_TOKENS = 512
+/** For a shared prefix of at least this length, processing it again takes longer than querying which upstream caches it. */
+const MIN_QUERY_TOKENS = 512
 
 /**
- * Undefined when nothing has to be done before the request can run. A job without pieces only asks which upstream should
- * take the request: its prompt has long parts that others share, and the planner knows where these are kept.
+ * Returns undefined if the request needs no preparation. A job without pieces only queries which upstream should run the
+ * request: its prompt has a long shared prefix, and the planner knows which upstreams have it in their caches.
  */
-export function createPreparationJob (inputs: PreparationNeedInputs): PreparationJob | undefined {
+export function createPreparationJob (inputs: PreparationJobInputs): PreparationJob | undefined {
   const { request, route, role, priority, homeHalls, excludedTargets = [], deadlineInMs, isSuspect } = inputs
   if (route.stages.length === 0) return undefined
   const need = request.preparation
   const counts = route.stages.map((_, index) => need?.pieceCounts[index] ?? 0)
   const { prompt } = request
   const shared = prompt === undefined ? [] : listSharedPrefixes(prompt)
-  if (counts.every(count => count === 0) && (shared.at(-1)?.tokens ?? 0) < MIN_ASKED_TOKENS) return undefined
+  if (counts.every(count => count === 0) && (shared.at(-1)?.tokens ?? 0) < MIN_QUERY_TOKENS) return undefined
   const stages = route.stages.map((stage, index) => ({
     role: stage.role,
     after: stage.after.filter(before => (counts[before] ?? 0) > 0),
     pieceCount: counts[index] ?? 0,
     resultBytes: stage.resultBytes
   }))
-  const shape = {
+  const targetRequest = {
     role,
     shared,
     inputTokens: prompt?.inputTokens ?? 0
   }
-  return { id: request.id, key: need?.key ?? '', stages, request: shape, rank: priority, goalInMs: Math.min(route.goalMs, deadlineInMs), deadlineInMs: route.patienceMs > 0 ? Math.min(route.patienceMs, deadlineInMs) : deadlineInMs, isSuspect, homeHalls, ...excludedTargets.length > 0 ? { excludedTargets: excludedTargets.slice(0, MAX_EXCLUDED_TARGETS) } : {} }
+  return { id: request.id, key: need?.key ?? '', stages, request: targetRequest, rank: priority, goalInMs: Math.min(route.goalMs, deadlineInMs), deadlineInMs: route.patienceMs > 0 ? Math.min(route.patienceMs, deadlineInMs) : deadlineInMs, isSuspect, homeHalls, ...excludedTargets.length > 0 ? { excludedTargets: excludedTargets.slice(0, MAX_EXCLUDED_TARGETS) } : {} }
 }
--- a/src/services/relay/common/readyForecast.ts
+++ b/src/services/relay/common/readyForecast.ts
@@ -1,25 +1,25 @@
 /**
- * When a node that cannot take requests yet should be asked again.
+ * Estimates when a node that cannot accept requests yet will be ready, for the retry delay that callers are given.
  */
 
-/** A start or a fresh read ends within this, as a rule. */
-const USUAL_MS = 250
-/** Once source and peers were asked and know nothing, an outage of unknown length is under way; most last for seconds. */
+/** Starting, or reading the configuration again, usually takes less than this. */
+const STARTUP_MS = 250
+/** If neither the source nor the peers have a configuration, there is an outage of unknown length; most last for seconds. */
 const MIN_OUTAGE_MS = 1000
-/** Callers with little patience would not come back any later. */
+/** Callers with short deadlines would not retry after a longer delay. */
 const MAX_OUTAGE_MS = 4000
 
 export interface ReadyForecastInputs {
-  /** Source and peers were asked, and nothing is known. */
+  /** The source and the peers were asked, and none has a configuration. */
   readonly isOutage: boolean
-  /** How long the node has been unable to take requests. */
+  /** How long the node has been unable to accept requests. */
   readonly sinceMs: number
 }
 
 /**
- * An outage is expected to last for as long again as it has. Told to come back after 250 ms, callers came twice within
- * an outage of 1.2 s and had no try left: 50 of 68 in its two seconds were refused for good.
+ * An outage is expected to last as long again as it has lasted so far. With a constant delay of 250 ms, callers used up
+ * their retries during an outage of 1.2 s: of 68 requests within its two seconds, 50 failed for good.
  */
 export function estimateReadyMs ({ isOutage, sinceMs }: ReadyForecastInputs): number {
-  return isOutage ? Math.min(MAX_OUTAGE_MS, Math.max(MIN_OUTAGE_MS, sinceMs)) : USUAL_MS
+  return isOutage ? Math.min(MAX_OUTAGE_MS, Math.max(MIN_OUTAGE_MS, sinceMs)) : STARTUP_MS
 }
--- a/src/services/relay/common/relayPool.ts
+++ b/src/services/relay/common/relayPool.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams as this node uses them: what it has open there, how they do, and which one the router would take.
+ * Tracks this node's use of each upstream (requests in flight, health, reported load) and selects one for a request.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { rankByRendezvous } from '../../../base/common/rendezvous.ts'
@@ -18,193 +18,193 @@
   readonly registry: UpstreamRegistry
   readonly router: RelayRouter
   readonly createHealth: () => HealthTracker
-  /** Nodes that use the same upstreams, this one included. */
+  /** Number of nodes that send to the same upstreams, this one included. */
   readonly countNodes: () => number
-  /** Whether a boot is known to have ended though it is still listed. */
+  /** Whether an upstream's process is known to have terminated although the upstream is still listed. */
   readonly hasEnded: (upstream: string) => boolean
-  /** What limited upstreams accept; any number without it. */
+  /** Quota of upstreams with a rate limit; without it no limits apply. */
   readonly quota?: Pick<IQuotaService, 'getWaitMs'>
-  /** How long upstreams want nothing from this node; without it all take work. */
+  /** Remaining backoff time of each upstream; without it no upstream is in backoff. */
   readonly backoffs?: Pick<IBackoffService, 'getWaitMs'>
 }
 
-export interface PoolQuestion {
+export interface PoolQuery {
   readonly role: string
   readonly prompt: PromptShape | undefined
   readonly hall: string
-  /** Upstreams that the request was sent to already. */
+  /** Upstreams that the request was already sent to; used again only if no other is available. */
   readonly tried: ReadonlySet<string>
   /** The only halls that may serve the request; undefined for all. */
   readonly homeHalls?: readonly string[]
-  /** Upstreams that do not accept the request now. */
-  readonly denied?: ReadonlySet<string>
+  /** Upstreams that must not be selected, since they refused the request quota. */
+  readonly excluded?: ReadonlySet<string>
 }
 
-/** A request that may have ended upstreams wants a place where it does least harm. */
-export interface ApartQuestion extends Pick<PoolQuestion, 'role' | 'tried' | 'homeHalls' | 'denied'> {
-  /** What the tries of the request have in common. */
+/** A suspect, which is a request that may have crashed upstreams, is placed where a further crash affects the fewest others. */
+export interface SuspectQuery extends Pick<PoolQuery, 'role' | 'tried' | 'homeHalls' | 'excluded'> {
+  /** The request's digest, which is the same for all tries of the caller. */
   readonly key: string
 }
 
-/** What comes to an upstream. */
-export interface PoolArrival {
+/** What the pool needs to know about a request that is sent. */
+export interface PoolRequest {
   readonly prompt: PromptShape | undefined
-  /** Upstreams have ended under it. */
+  /** Upstreams have crashed while they ran it. */
   readonly isSuspect: boolean
 }
 
-/** A request's stay at an upstream. */
-export interface PoolVisit {
-  /** The first event, or the answer, has come. */
-  noteProduced (): void
+/** One attempt in flight at an upstream. */
+export interface InFlightRequest {
+  /** Marks the prompt as processed, since the first event or the answer has arrived. */
+  recordFirstOutput (): void
   end (outcome: AttemptOutcome): void
 }
 
-/** What this node has open at an upstream and knows of it. */
-class UpstreamUse {
+class UpstreamUsage {
   inFlight = 0
   pendingTokens = 0
-  suspects = 0
+  suspectCount = 0
   load: UpstreamLoad | undefined
-  loadAt = -Infinity
+  loadReceivedAt = -Infinity
 
   constructor (readonly health: HealthTracker) {}
 }
 
-/** A report of load is believed for so long. */
+/** A reported load is ignored after this time. */
 const MAX_LOAD_AGE_MS = 1000
-/** No more than this part of a role is left out for its health. */
+/** At most this share of a role's upstreams is ejected for poor health. */
 const MAX_EJECTED_SHARE = 0.5
 
 export class RelayPool {
   private readonly _options: RelayPoolOptions
-  private readonly _uses = new Map<string, UpstreamUse>()
+  private readonly _usages = new Map<string, UpstreamUsage>()
 
   constructor (options: RelayPoolOptions) {
     this._options = options
-    options.registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._uses.delete(entry.id) })
+    options.registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._usages.delete(entry.id) })
   }
 
-  /** An upstream that was chosen elsewhere, if nothing known here speaks against it. */
+  /** Returns the upstream that a preparation plan chose, or undefined if this node knows that it is not usable. */
   confirm (id: string, tried: ReadonlySet<string>, homeHalls?: readonly string[]): UpstreamEntry | undefined {
     const entry = this._options.registry.get(id)
     if (entry === undefined || !this._options.registry.mayUse(entry) || tried.has(id) || this._isBackingOff(id) || homeHalls?.includes(entry.hall) === false) return undefined
-    return this._getUse(id).health.getState(this._options.clock.now()) === 'ejected' ? undefined : entry
+    return this._getUsage(id).health.getState(this._options.clock.now()) === 'ejected' ? undefined : entry
   }
 
-  choose (question: PoolQuestion): UpstreamEntry | undefined {
-    const entries = this._listOpen(question)
-    const untried = entries.filter(entry => !question.tried.has(entry.id))
+  choose (query: PoolQuery): UpstreamEntry | undefined {
+    const entries = this._listAvailable(query)
+    const untried = entries.filter(entry => !query.tried.has(entry.id))
     const usable = this._listHealthy(untried.length > 0 ? untried : entries, entries.length)
-    const shared = question.prompt === undefined ? undefined : listSharedPrefixes(question.prompt).at(-1)
+    const shared = query.prompt === undefined ? undefined : listSharedPrefixes(query.prompt).at(-1)
     const choice = this._options.router.choose(
-      { sharedPrefix: shared?.key ?? '', sharedTokens: shared?.tokens ?? 0, hall: question.hall, nodeCount: this._options.countNodes() },
+      { sharedPrefixKey: shared?.key ?? '', sharedTokens: shared?.tokens ?? 0, hall: query.hall, nodeCount: this._options.countNodes() },
       usable.map(entry => this._createCandidate(entry))
     )
     return choice === undefined ? undefined : this._options.registry.get(choice.id)
   }
 
-  /** All upstreams that the request might go to, whatever they accept now. */
-  listUsable (role: string, homeHalls?: readonly string[]): readonly UpstreamEntry[] {
+  /** All upstreams that may serve the request, those at their limits or in backoff included. */
+  listEligible (role: string, homeHalls?: readonly string[]): readonly UpstreamEntry[] {
     const listed = this._options.registry.listRole(role)
     return homeHalls === undefined ? listed : listed.filter(({ hall }) => homeHalls.includes(hall))
   }
 
   /**
-   * Where a suspect goes: to an upstream that has no other suspect, so that the next end tells which of them it was, and
-   * as little else as may be. Nodes rank upstreams alike for one request and differently for two.
+   * Selects an upstream for a suspect: one without another suspect, so that a crash can be attributed to one of them, and
+   * then one with few requests in flight. Ties are resolved by rendezvous hashing of the digest, so that all nodes
+   * choose the same upstream for one suspect and different ones for different suspects.
    */
-  chooseApart ({ tried, key, ...question }: ApartQuestion): UpstreamEntry | undefined {
-    const entries = this._listOpen(question)
+  chooseForSuspect ({ tried, key, ...query }: SuspectQuery): UpstreamEntry | undefined {
+    const entries = this._listAvailable(query)
     const untried = entries.filter(entry => !tried.has(entry.id))
     const usable = this._listHealthy(untried.length > 0 ? untried : entries, entries.length).filter(entry => !this._options.hasEnded(entry.id))
     const ranked = rankByRendezvous(key, usable.map(entry => entry.id))
-    const costs = ranked.map(id => ({ id, use: this._getUse(id) }))
-    const [best] = costs.sort((a, b) => a.use.suspects - b.use.suspects || a.use.inFlight - b.use.inFlight)
+    const usages = ranked.map(id => ({ id, usage: this._getUsage(id) }))
+    const [best] = usages.sort((a, b) => a.usage.suspectCount - b.usage.suspectCount || a.usage.inFlight - b.usage.inFlight)
     return best === undefined ? undefined : this._options.registry.get(best.id)
   }
 
-  begin (upstream: UpstreamEntry, { prompt, isSuspect }: PoolArrival): PoolVisit {
-    const use = this._getUse(upstream.id)
+  begin (upstream: UpstreamEntry, { prompt, isSuspect }: PoolRequest): InFlightRequest {
+    const usage = this._getUsage(upstream.id)
     let pending = prompt?.inputTokens ?? 0
-    use.inFlight++
-    if (isSuspect) use.suspects++
-    use.pendingTokens += pending
-    const noteProduced = () => {
-      use.pendingTokens -= pending
+    usage.inFlight++
+    if (isSuspect) usage.suspectCount++
+    usage.pendingTokens += pending
+    const recordFirstOutput = () => {
+      usage.pendingTokens -= pending
       pending = 0
     }
     return {
-      noteProduced,
+      recordFirstOutput,
       end: outcome => {
-        noteProduced()
-        use.inFlight--
-        if (isSuspect) use.suspects--
-        this._recordHealth(use, outcome)
+        recordFirstOutput()
+        usage.inFlight--
+        if (isSuspect) usage.suspectCount--
+        this._recordHealth(usage, outcome)
       }
     }
   }
 
   recordLoad (upstream: UpstreamEntry, load: UpstreamLoad): void {
-    const use = this._getUse(upstream.id)
-    use.load = load
-    use.loadAt = this._options.clock.now()
+    const usage = this._getUsage(upstream.id)
+    usage.load = load
+    usage.loadReceivedAt = this._options.clock.now()
   }
 
   describe (): readonly object[] {
     const now = this._options.clock.now()
-    return [...this._uses].map(([id, use]) => ({ id, inFlight: use.inFlight, pendingTokens: use.pendingTokens, health: use.health.getState(now), load: use.load }))
+    return [...this._usages].map(([id, usage]) => ({ id, inFlight: usage.inFlight, pendingTokens: usage.pendingTokens, health: usage.health.getState(now), load: usage.load }))
   }
 
-  /** Upstreams that accept work now, as far as is known without asking. */
-  private _listOpen ({ role, homeHalls, denied }: Pick<PoolQuestion, 'role' | 'homeHalls' | 'denied'>): readonly UpstreamEntry[] {
+  /** Upstreams that should accept a request now, as far as this node knows without requesting quota. */
+  private _listAvailable ({ role, homeHalls, excluded }: Pick<PoolQuery, 'role' | 'homeHalls' | 'excluded'>): readonly UpstreamEntry[] {
     const { quota } = this._options
-    return this.listUsable(role, homeHalls).filter(entry => denied?.has(entry.id) !== true && !this._isBackingOff(entry.id) && (quota === undefined || quota.getWaitMs(entry) === 0))
+    return this.listEligible(role, homeHalls).filter(entry => excluded?.has(entry.id) !== true && !this._isBackingOff(entry.id) && (quota === undefined || quota.getWaitMs(entry) === 0))
   }
 
   private _isBackingOff (id: string): boolean {
     return (this._options.backoffs?.getWaitMs(id) ?? 0) > 0
   }
 
-  /** A refusal for want of room says nothing of health; a failed connection does. */
-  private _recordHealth (use: UpstreamUse, outcome: AttemptOutcome): void {
+  /** A refusal because of load is not counted against an upstream's health; a failed connection is. */
+  private _recordHealth (usage: UpstreamUsage, outcome: AttemptOutcome): void {
     const now = this._options.clock.now()
-    if (outcome.kind === 'delivered') use.health.record(true, now)
-    else if (outcome.kind === 'lost' || outcome.kind === 'broken' || outcome.kind === 'failed') use.health.record(false, now)
-    else if (outcome.kind === 'notRun' && outcome.reason === 'unreachable') use.health.record(false, now)
+    if (outcome.kind === 'delivered') usage.health.record(true, now)
+    else if (outcome.kind === 'lost' || outcome.kind === 'broken' || outcome.kind === 'failed') usage.health.record(false, now)
+    else if (outcome.kind === 'notRun' && outcome.reason === 'unreachable') usage.health.record(false, now)
   }
 
   private _listHealthy (entries: readonly UpstreamEntry[], roleSize: number): readonly UpstreamEntry[] {
     const now = this._options.clock.now()
-    const healthy = entries.filter(entry => this._getUse(entry.id).health.getState(now) !== 'ejected')
-    const mayEject = Math.floor(roleSize * MAX_EJECTED_SHARE)
-    if (entries.length - healthy.length <= mayEject && healthy.length > 0) return healthy
-    const soonest = entries
+    const healthy = entries.filter(entry => this._getUsage(entry.id).health.getState(now) !== 'ejected')
+    const maxEjectedCount = Math.floor(roleSize * MAX_EJECTED_SHARE)
+    if (entries.length - healthy.length <= maxEjectedCount && healthy.length > 0) return healthy
+    const soonestToRecover = entries
       .filter(entry => !healthy.includes(entry))
-      .sort((a, b) => this._getUse(a.id).health.ejectedUntil - this._getUse(b.id).health.ejectedUntil)
-    return [...healthy, ...soonest.slice(0, Math.max(1, entries.length - mayEject - healthy.length))]
+      .sort((a, b) => this._getUsage(a.id).health.ejectedUntil - this._getUsage(b.id).health.ejectedUntil)
+    return [...healthy, ...soonestToRecover.slice(0, Math.max(1, entries.length - maxEjectedCount - healthy.length))]
   }
 
   private _createCandidate (entry: UpstreamEntry): RelayCandidate {
-    const use = this._getUse(entry.id)
-    const isFresh = this._options.clock.now() - use.loadAt <= MAX_LOAD_AGE_MS
+    const usage = this._getUsage(entry.id)
+    const isFresh = this._options.clock.now() - usage.loadReceivedAt <= MAX_LOAD_AGE_MS
     return {
       id: entry.id,
       hall: entry.hall,
-      inFlight: use.inFlight,
-      pendingTokens: use.pendingTokens,
-      reportedLoad: isFresh && use.load !== undefined ? use.load.running + use.load.waiting : 0,
+      inFlight: usage.inFlight,
+      pendingTokens: usage.pendingTokens,
+      reportedLoad: isFresh && usage.load !== undefined ? usage.load.running + usage.load.waiting : 0,
       slots: entry.slots,
-      slowness: 1
+      latencyFactor: 1
     }
   }
 
-  private _getUse (id: string): UpstreamUse {
-    let use = this._uses.get(id)
-    if (use === undefined) {
-      use = new UpstreamUse(this._options.createHealth())
-      this._uses.set(id, use)
+  private _getUsage (id: string): UpstreamUsage {
+    let usage = this._usages.get(id)
+    if (usage === undefined) {
+      usage = new UpstreamUsage(this._options.createHealth())
+      this._usages.set(id, usage)
     }
-    return use
+    return usage
   }
 }
--- a/src/services/relay/common/relayProtocol.ts
+++ b/src/services/relay/common/relayProtocol.ts
@@ -1,6 +1,6 @@
 /**
- * The ports of the relay: how callers and upstreams speak HTTP. An adapter translates their headers; everything above
- * it speaks of requests, attempts and outcomes.
+ * Interfaces to the HTTP protocols of callers and upstreams. Adapters implement them and translate headers, so that the
+ * relay itself only deals with requests, attempts and outcomes.
  */
 import type { Either } from 'purify-ts'
 import type { PepperwoodError } from '../../result/common/pepperwoodError.ts'
@@ -22,19 +22,19 @@
   readonly status: number
 }
 
-/** When to come back for a request that another node can take at once, in milliseconds. */
-export const ELSEWHERE_RETRY_MS = 50
+/** Retry delay for a request that another node can accept at once. */
+export const OTHER_NODE_RETRY_MS = 50
 
 /** Why a request ends without an upstream's answer. */
 export interface RelayRefusal {
   readonly error: PepperwoodError
-  /** True is a promise: no upstream has run the request, and none will. */
+  /** True guarantees that no upstream has run the request and none will. */
   readonly isNotRun: boolean
-  /** When it makes sense to ask again. */
+  /** Delay after which a retry makes sense. */
   readonly retryAfterMs?: number
 }
 
-/** An answer of our own to a caller. */
+/** An answer to a caller that this node created itself. */
 export interface OwnAnswer {
   readonly status: number
   readonly headers: readonly HeaderField[]
@@ -47,49 +47,49 @@
   readonly upstream: UpstreamEntry
   readonly customer: string | undefined
   readonly timeLeftMs: number
-  /** 0 goes first. */
+  /** Lower values are more urgent; 0 is the highest priority. */
   readonly priority: number
-  /** Handles of the results that preparation left, in order. */
+  /** Handles of the results of preparation, in order. */
   readonly inputs: readonly string[]
-  /** The address of an upstream that keeps more of the prompt's beginning than this one does. */
+  /** Address of an upstream whose cache holds a longer prefix of the prompt, from which it can be copied. */
   readonly prefixSource: string | undefined
-  /** The last event that the caller has of this stream. */
+  /** Id of the last event of this stream that the caller has received. */
   readonly lastEventId: string | undefined
   readonly bodyBytes: number
 }
 
-/** What the head of an upstream's answer says. */
+/** Classification of the head of an upstream's answer. */
 export type AnswerVerdict =
-  /** The upstream's answer to this very request, whatever its status. */
+  /** The upstream's answer to this request, with any status. */
   | { readonly kind: 'answer', readonly isSuccess: boolean, readonly headers: readonly HeaderField[] }
-  /** The upstream says that it did not run the request. */
+  /** The upstream stated that it did not run the request. */
   | { readonly kind: 'notRun', readonly reason: NotRunReason }
-  /** Not an answer to this request, or not one that may be passed on. */
+  /** Not an answer to this request, or one that must not be forwarded. */
   | { readonly kind: 'invalid', readonly reason: string }
 
-/** Withheld: nothing was written, since the upstream was to get nothing more by then. */
+/** `withheld`: nothing was written, because the upstream must not receive requests any more. */
 export type NotRunReason = 'full' | 'otherUpstream' | 'inputMissing' | 'refused' | 'unreachable' | 'withheld'
 
-/** Speaks with callers. */
+/** Decodes callers' requests and encodes refusals. */
 export abstract class CallerProtocol {
   abstract readRequest (head: MessageHead): Either<PepperwoodError, RelayRequest>
-  /** The id that the caller gave, for logs; empty when there is none. */
+  /** Returns the caller's request id for logs, also if the request is invalid; empty if there is none. */
   abstract findRequestId (head: MessageHead): string
   abstract createAnswer (refusal: RelayRefusal): OwnAnswer
 }
 
-/** Speaks with upstreams. */
+/** Encodes requests to upstreams and decodes the heads of their answers. */
 export abstract class UpstreamProtocol {
-  /** The request's headers, host and framing included. */
+  /** Returns the request's headers, Host and framing headers included. */
   abstract createHeaders (call: RelayCall): readonly HeaderField[]
   abstract readHead (head: AnswerHead, call: RelayCall): AnswerVerdict
-  /** What the upstream says of itself; nothing where the answer is another boot's or to another request. */
+  /** Returns what the upstream states about itself; empty if the answer is from another instance or to another request. */
   abstract readStatements (head: AnswerHead, call: RelayCall): readonly UpstreamStatement[]
-  /** The load that the upstream reports; undefined where it reports none. */
+  /** Returns the load that the upstream reports; undefined if it reports none. */
   abstract readLoad (head: AnswerHead): UpstreamLoad | undefined
 }
 
-/** Load as an upstream told it with an answer. */
+/** Load that an upstream reported with an answer. */
 export interface UpstreamLoad {
   readonly running: number
   readonly waiting: number
--- a/src/services/relay/common/relayRequest.ts
+++ b/src/services/relay/common/relayRequest.ts
@@ -1,61 +1,61 @@
 /**
- * A caller's HTTP request as the relay sees it, with the names of the wire taken off.
+ * A caller's HTTP request in a form that does not depend on the header names of the callers' protocol.
  */
 import type { SharedPrefix } from '../../preparation/common/prefixBook.ts'
 
-/** A header that is passed on as it is. */
+/** A header that is forwarded unchanged. */
 export interface HeaderField {
   readonly name: string
   readonly value: string
 }
 
-/** A part of a prompt; requests that begin with the same parts can share what an upstream keeps of them. */
+/** A part of a prompt; requests that begin with the same parts can share an upstream's prefix cache. */
 export interface PromptPart {
   readonly id: string
   readonly tokens: number
 }
 
-/** What is known of a generation before it runs. */
+/** Size and structure of a generation request, known before it runs. */
 export interface PromptShape {
   readonly model: string
   readonly inputTokens: number
   readonly maxOutputTokens: number
-  /** In order; the last one belongs to the request itself. */
+  /** In order; the last part is specific to the request and not shared. */
   readonly parts: readonly PromptPart[]
 }
 
-/** How much preparation a request needs. */
+/** The preparation that a request needs. */
 export interface PreparationNeed {
-  /** Pieces for each stage of the route; 0 leaves the stage out. */
+  /** Number of pieces for each stage of the route; 0 skips the stage. */
   readonly pieceCounts: readonly number[]
-  /** What the first stages work on. */
+  /** Identifies the input of the first stages. */
   readonly key: string
 }
 
 export interface RelayRequest {
-  /** Given by the caller, another one for each try. */
+  /** Assigned by the caller, with a new id for each try. */
   readonly id: string
   readonly method: string
   /** Path and query, as sent. */
   readonly target: string
   readonly host: string
   readonly key: string | undefined
-  /** How long the caller waits, counted from when the request came in. */
+  /** How long the caller waits, counted from the arrival of the request; undefined if it states no limit. */
   readonly timeLeftMs: number | undefined
   readonly prompt: PromptShape | undefined
   readonly preparation: PreparationNeed | undefined
-  /** The last event of the stream that the caller has. */
+  /** Id of the last stream event that the caller has received, from which the stream is resumed. */
   readonly lastEventId: string | undefined
   readonly headers: readonly HeaderField[]
 }
 
-/** The path of a target, without its query. */
+/** Returns the path of a request target, without its query. */
 export function getPath (target: string): string {
   const end = target.indexOf('?')
   return end < 0 ? target : target.slice(0, end)
 }
 
-/** Beginnings of the prompt that other requests can have too, the shortest first. */
+/** Returns the prefixes of the prompt that other requests may have as well, the shortest first. */
 export function listSharedPrefixes (prompt: PromptShape): readonly SharedPrefix[] {
   return prompt.parts.slice(0, -1).map((_, index, shared) => {
     const parts = shared.slice(0, index + 1)
--- a/src/services/relay/common/relayRouter.ts
+++ b/src/services/relay/common/relayRouter.ts
@@ -1,31 +1,31 @@
 /**
- * Which upstream of a role gets a request.
+ * Routing policies, which choose the upstream of a role for a request.
  */
 import type { IRandom } from '../../../base/common/random.ts'
 import { rankByRendezvous } from '../../../base/common/rendezvous.ts'
 
-/** An upstream that could take the request now, as this node knows it. */
+/** An upstream that can accept the request now, as far as this node knows. */
 export interface RelayCandidate {
   readonly id: string
   readonly hall: string
-  /** Requests of this node that are open there. */
+  /** Requests of this node that are in flight there. */
   readonly inFlight: number
-  /** Prompt tokens of this node's requests that have not shown their first event. */
+  /** Prompt tokens of this node's requests that have not produced their first event. */
   readonly pendingTokens: number
-  /** Requests there by its own last word, if that is recent; from all nodes. */
+  /** Requests of all nodes there, as the upstream reported recently; 0 without a recent report. */
   readonly reportedLoad: number
   readonly slots: number
-  /** How much longer than the others it takes; 1 is usual. */
-  readonly slowness: number
+  /** Latency relative to the other upstreams; 1 is normal. */
+  readonly latencyFactor: number
 }
 
-export interface RouteQuestion {
-  /** What tells apart prompts with the same shared parts; empty where nothing is shared. */
-  readonly sharedPrefix: string
+export interface RouteQuery {
+  /** Identifies the prompt's longest shared prefix; empty if nothing is shared. */
+  readonly sharedPrefixKey: string
   readonly sharedTokens: number
-  /** The hall that holds the results of preparation, or this node's own. */
+  /** The hall that holds most results of preparation, or this node's own. */
   readonly hall: string
-  /** Nodes that use the same upstreams. */
+  /** Number of nodes that send to the same upstreams. */
   readonly nodeCount: number
 }
 
@@ -36,14 +36,14 @@
 
 export abstract class RelayRouter {
   /** Undefined when there is no candidate. */
-  abstract choose (question: RouteQuestion, candidates: readonly RelayCandidate[]): RouteChoice | undefined
+  abstract choose (query: RouteQuery, candidates: readonly RelayCandidate[]): RouteChoice | undefined
 }
 
-/** Baseline: each candidate in turn. */
+/** Baseline without knowledge of load or prefix caches. */
 export class RoundRobinRouter extends RelayRouter {
   private _next = 0
 
-  choose (_question: RouteQuestion, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
+  choose (_query: RouteQuery, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
     const candidate = candidates[this._next++ % Math.max(1, candidates.length)]
     return candidate === undefined ? undefined : { id: candidate.id, reason: 'in turn' }
   }
@@ -51,21 +51,21 @@
 
 export interface AffinityOptions {
   readonly random: IRandom
-  /** Candidates, in the order of the prefix, that are weighed against each other. */
+  /** Number of candidates, in rendezvous order of the prefix, whose costs are compared. */
   readonly affinityCount?: number
 }
 
-/** What a token that has to be read costs against a request that is in progress there. */
+/** Cost of a request in flight beyond the slots, in prompt tokens that could be processed in the time it takes. */
 const TOKENS_PER_REQUEST = 1500
-/** A candidate with more slowness than this is used only when the others are full. */
-const MAX_SLOWNESS = 2.5
-/** Prefer the same hall unless the other is this much freer, in requests over slots. */
-const HALL_BONUS = 0.15
+/** A candidate whose latency factor is higher than this is used only if all candidates are above it. */
+const MAX_LATENCY_FACTOR = 2.5
+/** A candidate in another hall is chosen only if its load, in requests per slot, is lower by more than this. */
+const LOCAL_HALL_BONUS = 0.15
 
 /**
- * Prompts with the same shared parts go to the same few upstreams, since these keep what they read. The second in the
- * order takes over when the first has so much to read that reading the shared parts again is cheaper. Requests that
- * share nothing go where the load over slots is least, by preference in the same hall.
+ * Sends prompts with the same shared prefix to the same few upstreams, whose prefix caches hold it. The second upstream in
+ * rendezvous order is chosen when the first has so many tokens queued that processing the prefix again is cheaper.
+ * Requests without a shared prefix go to the upstream with the lowest load per slot, preferably in the same hall.
  */
 export class AffinityRouter extends RelayRouter {
   private readonly _random: IRandom
@@ -77,34 +77,34 @@
     this._affinityCount = options.affinityCount ?? 2
   }
 
-  choose (question: RouteQuestion, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
-    const usual = candidates.filter(candidate => candidate.slowness <= MAX_SLOWNESS)
-    const usable = usual.length > 0 ? usual : candidates
-    if (question.sharedPrefix === '') return this._chooseByLoad(question, usable)
-    return this._chooseByPrefix(question, usable)
+  choose (query: RouteQuery, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
+    const responsive = candidates.filter(candidate => candidate.latencyFactor <= MAX_LATENCY_FACTOR)
+    const usable = responsive.length > 0 ? responsive : candidates
+    if (query.sharedPrefixKey === '') return this._chooseByLoad(query, usable)
+    return this._chooseByPrefix(query, usable)
   }
 
-  private _chooseByPrefix (question: RouteQuestion, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
+  private _chooseByPrefix (query: RouteQuery, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
     const byId = new Map(candidates.map(candidate => [candidate.id, candidate]))
-    const ranked = rankByRendezvous(question.sharedPrefix, [...byId.keys()]).slice(0, this._affinityCount)
-    const costs = ranked.map((id, rank) => ({ id, cost: this._scorePrefix(question, byId.get(id), rank) }))
+    const ranked = rankByRendezvous(query.sharedPrefixKey, [...byId.keys()]).slice(0, this._affinityCount)
+    const costs = ranked.map((id, rank) => ({ id, cost: this._scorePrefix(query, byId.get(id), rank) }))
     const best = costs.reduce<{ readonly id: string, readonly cost: number } | undefined>((least, item) => least === undefined || item.cost < least.cost ? item : least, undefined)
     return best === undefined ? undefined : { id: best.id, reason: `prefix rank ${ranked.indexOf(best.id)}, cost ${Math.round(best.cost)} tokens` }
   }
 
-  /** Tokens to be read before the request's first one, this request's shared parts included where they are not kept. */
-  private _scorePrefix (question: RouteQuestion, candidate: RelayCandidate | undefined, rank: number): number {
+  /** Tokens to be processed before this request's own, its shared prefix included if it is not assumed to be cached. */
+  private _scorePrefix (query: RouteQuery, candidate: RelayCandidate | undefined, rank: number): number {
     if (candidate === undefined) return Infinity
-    // The others' share is not known, and is taken to be like this node's, but never more than one request beyond it.
-    const ahead = candidate.pendingTokens + TOKENS_PER_REQUEST * Math.max(0, candidate.inFlight * question.nodeCount - candidate.slots)
-    return (ahead + (rank === 0 ? 0 : question.sharedTokens)) * candidate.slowness
+    // The load from other nodes is not known and is assumed to be the same as this node's.
+    const queuedTokens = candidate.pendingTokens + TOKENS_PER_REQUEST * Math.max(0, candidate.inFlight * query.nodeCount - candidate.slots)
+    return (queuedTokens + (rank === 0 ? 0 : query.sharedTokens)) * candidate.latencyFactor
   }
 
-  private _chooseByLoad (question: RouteQuestion, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
+  private _chooseByLoad (query: RouteQuery, candidates: readonly RelayCandidate[]): RouteChoice | undefined {
     let best: { readonly id: string, readonly load: number } | undefined
     for (const candidate of candidates) {
-      const open = Math.max(candidate.inFlight, candidate.reportedLoad) + this._random.next() * 0.01
-      const load = (open + 1) / Math.max(1, candidate.slots) * candidate.slowness - (candidate.hall === question.hall ? HALL_BONUS : 0)
+      const openRequests = Math.max(candidate.inFlight, candidate.reportedLoad) + this._random.next() * 0.01
+      const load = (openRequests + 1) / Math.max(1, candidate.slots) * candidate.latencyFactor - (candidate.hall === query.hall ? LOCAL_HALL_BONUS : 0)
       if (best === undefined || load < best.load) best = { id: candidate.id, load }
     }
     return best === undefined ? undefined : { id: best.id, reason: `load ${best.load.toFixed(2)}` }
--- a/src/services/relay/common/relayTable.ts
+++ b/src/services/relay/common/relayTable.ts
@@ -1,5 +1,5 @@
 /**
- * The relay part of a configuration, arranged for look-ups.
+ * Indexes the relay section of a configuration for lookups.
  */
 import type { CallerLimits, Relay, RelayCustomer, Role, Route, RouteTarget } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -19,30 +19,30 @@
       this._routesByHost.set(host, [...routes].sort((a, b) => b.pathPrefix.length - a.pathPrefix.length))
     }
     for (const customer of relay.customers) for (const digest of customer.keySha256) this._customersByKey.set(digest, customer)
-    this.needsKeys = relay.customers.length > 0
+    this.requiresKeys = relay.customers.length > 0
   }
 
-  /** Whether requests of routes that are not public need a key. */
-  readonly needsKeys: boolean
+  /** Whether requests need a customer's key on routes that are not public. */
+  readonly requiresKeys: boolean
 
-  /** The route with the longest prefix that begins the path. */
+  /** Returns the route whose path prefix is the longest match. */
   findRoute (host: string, path: string): Route | undefined {
     return this._routesByHost.get(host)?.find(route => path.startsWith(route.pathPrefix))
   }
 
-  /** Regions that are home to any route of a host; empty where none of them has homes. */
+  /** Returns the home regions of all routes of a host; empty if none of them has home regions. */
   listHomes (host: string): readonly string[] {
     return [...new Set((this._routesByHost.get(host) ?? []).flatMap(route => route.homeRegions))]
   }
 
-  /** Home regions of routes and customers, each with what it is of. */
+  /** Returns the home regions of each route and customer that has any, with a description of the route or customer. */
   listAllHomes (): readonly { readonly of: string, readonly regions: readonly string[] }[] {
     const routes = [...this._routesByHost.values()].flat().map(route => ({ of: `route ${route.name}`, regions: route.homeRegions }))
     const customers = [...new Set(this._customersByKey.values())].map(customer => ({ of: `customer ${customer.name}`, regions: customer.homeRegions }))
     return [...routes, ...customers].filter(({ regions }) => regions.length > 0)
   }
 
-  /** The customer that holds the key with this digest. */
+  /** Returns the customer whose key has this SHA-256 digest. */
   findCustomer (keyDigest: string): RelayCustomer | undefined {
     return this._customersByKey.get(keyDigest)
   }
@@ -51,19 +51,19 @@
     return this._roles.get(name)
   }
 
-  /** Roles whose upstreams make pieces of preparation stages. */
+  /** Returns the roles whose upstreams compute pieces of preparation stages. */
   listPieceRoles (): readonly Role[] {
     return [...this._roles.values()].filter(role => role.pieceWork !== undefined)
   }
 }
 
-/** Draws a target by the weights. */
+/** Returns the role of a random target, with a probability proportional to its weight. */
 export function pickTarget (targets: readonly RouteTarget[], random: IRandom): string {
   const total = targets.reduce((sum, target) => sum + target.weight, 0)
-  let left = random.next() * total
+  let remaining = random.next() * total
   for (const target of targets) {
-    left -= target.weight
-    if (left < 0) return target.role
+    remaining -= target.weight
+    if (remaining < 0) return target.role
   }
   return targets.findLast(target => target.weight > 0)?.role ?? ''
 }
--- a/src/services/relay/node/callerAnswer.ts
+++ b/src/services/relay/node/callerAnswer.ts
@@ -1,14 +1,14 @@
 /**
- * The answer to one caller: begun at most once, ended once, and cut when its end cannot be delivered.
+ * The answer to one caller: begun at most once, ended once, and aborted if the rest of it cannot be delivered.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
 import { Emitter } from '../../../base/common/event.ts'
 import type { HeaderField } from '../common/relayRequest.ts'
 
-/** An upstream's answer that was read whole. */
-export interface WholeAnswer {
-  /** False when only the end of the connection ended the body: then the caller is told no more than that either. */
+/** An upstream's complete answer. */
+export interface BufferedAnswer {
+  /** False if the body was delimited only by the end of the connection; it is then forwarded in the same way. */
   readonly isFramed: boolean
   readonly status: number
   readonly headers: readonly HeaderField[]
@@ -16,102 +16,102 @@
 }
 
 export class CallerAnswer extends Disposable {
-  private readonly _onDidLeave = this._register(new Emitter<void>())
-  /** The caller closed its connection before the answer ended. */
-  readonly onDidLeave = this._onDidLeave.event
-  private _hasLeft = false
-  private _isBegun = false
-  private _isEnded = false
+  private readonly _onDidDisconnect = this._register(new Emitter<void>())
+  /** Fires when the caller closes its connection before the answer has ended. */
+  readonly onDidDisconnect = this._onDidDisconnect.event
+  private _hasDisconnected = false
+  private _hasBegun = false
+  private _hasEnded = false
   private _isFramed = true
 
   constructor (private readonly _request: IncomingMessage, private readonly _response: ServerResponse) {
     super()
-    const onClose = () => this._noteClosed()
+    const onClose = () => this._handleClose()
     _response.on('close', onClose)
-    // A write after the caller has gone is no fault of ours; the close tells the rest.
+    // Writes after the caller has disconnected fail; the close event that follows is handled.
     _response.on('error', () => {})
     this._register(toDisposable(() => { _response.off('close', onClose) }))
   }
 
-  get hasLeft (): boolean {
-    return this._hasLeft
+  get hasDisconnected (): boolean {
+    return this._hasDisconnected
   }
 
-  get isBegun (): boolean {
-    return this._isBegun
+  get hasBegun (): boolean {
+    return this._hasBegun
   }
 
-  get isEnded (): boolean {
-    return this._isEnded
+  get hasEnded (): boolean {
+    return this._hasEnded
   }
 
-  /** The connection ends with this answer. */
-  closeAfterwards (): void {
-    if (!this._isBegun) this._response.shouldKeepAlive = false
+  /** Closes the connection after this answer. */
+  closeAfterAnswer (): void {
+    if (!this._hasBegun) this._response.shouldKeepAlive = false
   }
 
   begin (status: number, headers: readonly HeaderField[], isFramed = true): void {
-    if (this._isBegun || this._hasLeft) return
-    this._isBegun = true
+    if (this._hasBegun || this._hasDisconnected) return
+    this._hasBegun = true
     this._isFramed = isFramed
-    if (!isFramed) this._endWithConnection()
+    if (!isFramed) this._endBodyByClose()
     this._response.writeHead(status, toRawHeaders(headers))
     this._response.flushHeaders()
   }
 
-  /** False when the caller does not keep up; `waitForRoom` tells when it does again. */
+  /** Returns false if the write buffer is full; `waitForDrain` resolves when it is empty again. */
   write (bytes: Buffer): boolean {
-    if (this._hasLeft || this._isEnded) return true
+    if (this._hasDisconnected || this._hasEnded) return true
     return this._response.write(bytes)
   }
 
-  waitForRoom (): Promise<void> {
+  waitForDrain (): Promise<void> {
     return new Promise(resolve => {
-      if (this._hasLeft) return resolve()
+      if (this._hasDisconnected) return resolve()
       this._response.once('drain', resolve)
       this._response.once('close', resolve)
     })
   }
 
   finish (): void {
-    if (this._isEnded) return
-    this._isEnded = true
-    if (!this._hasLeft) this._response.end()
+    if (this._hasEnded) return
+    this._hasEnded = true
+    if (!this._hasDisconnected) this._response.end()
   }
 
-  /** Sends an answer whole. */
-  send (answer: WholeAnswer): void {
-    if (this._isBegun || this._isEnded) return
-    this._isBegun = true
-    this._isEnded = true
-    if (this._hasLeft) return
+  /** Sends a complete answer, unless one was begun already. */
+  send (answer: BufferedAnswer): void {
+    if (this._hasBegun || this._hasEnded) return
+    this._hasBegun = true
+    this._hasEnded = true
+    if (this._hasDisconnected) return
     const hasBody = answer.status !== 204 && answer.status !== 304
-    if (!answer.isFramed) this._endWithConnection()
+    if (!answer.isFramed) this._endBodyByClose()
     const length = hasBody && answer.isFramed ? [{ name: 'Content-Length', value: String(answer.body.length) }] : []
-    // What a caller still sends would be taken for its next request.
+    // The rest of the current request would be parsed as the next one.
     if (!this._request.complete) this._response.shouldKeepAlive = false
     this._response.writeHead(answer.status, toRawHeaders([...answer.headers, ...length]))
     this._response.end(hasBody ? answer.body : undefined)
   }
 
-  /** Ends the connection, so that what was sent cannot be taken for whole. */
-  cut (): void {
-    if (this._isEnded) return
-    this._isEnded = true
-    // Without framing a mere close would look like the end.
+  /** Closes the connection in such a way that the caller does not consider the answer complete. */
+  abort (): void {
+    if (this._hasEnded) return
+    this._hasEnded = true
+    // Without framing, an orderly close would mark the end of the body, so the connection is reset.
     if (this._isFramed) this._response.destroy()
     else this._request.socket.resetAndDestroy()
   }
 
-  private _endWithConnection (): void {
+  private _endBodyByClose (): void {
     this._response.useChunkedEncodingByDefault = false
     this._response.shouldKeepAlive = false
   }
 
-  private _noteClosed (): void {
-    if (this._response.writableFinished || this._hasLeft) return
-    this._hasLeft = true
-    if (!this._isEnded) this._onDidLeave.fire()
+  private _handleClose (): void {
+    if (this._response.writableFinished || this._hasDisconnected) return
+    this._hasDisconnected = true
+    if (!this._hasEnded) this._onDidDisconnect.fire()
   }
 }
 
--- a/src/services/relay/node/relayAttempt.ts
+++ b/src/services/relay/node/relayAttempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt of a request at one upstream: sends it, checks the answer and hands it on.
+ * One attempt of a request at one upstream: sends it, validates the answer and forwards it to the caller.
  */
 import type { Agent, IncomingMessage } from 'node:http'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -9,7 +9,7 @@
 import type { AttemptOutcome } from '../common/attemptDecision.ts'
 import { EventSplitter } from '../common/eventSplitter.ts'
 import type { AnswerVerdict, RelayCall, UpstreamLoad, UpstreamProtocol } from '../common/relayProtocol.ts'
-import type { CallerAnswer, WholeAnswer } from './callerAnswer.ts'
+import type { CallerAnswer, BufferedAnswer } from './callerAnswer.ts'
 
 export interface RelayAttemptOptions {
   readonly agent: Agent
@@ -18,42 +18,42 @@
   readonly call: RelayCall
   readonly body: Buffer
   readonly answer: CallerAnswer
-  /** Hand events on as they come. */
+  /** Forward events as they arrive instead of the whole answer. */
   readonly isStream: boolean
-  /** How long the upstream may take to begin its answer. */
-  readonly headTimeoutMs: number
-  /** How long a stream may pause before it is taken for broken. */
+  /** How long the upstream may take to send the head of a stream, or all of an answer that is not a stream. */
+  readonly responseTimeoutMs: number
+  /** How long a stream may pause before it is considered broken. */
   readonly pauseTimeoutMs: number
   readonly signal: AbortSignal
-  /** The connection is open, and the request is written now; false withholds it. */
+  /** Called once the connection is open, right before the request is written; false withholds the request. */
   readonly onWillSend: () => boolean
   readonly onDidReadLoad: (load: UpstreamLoad) => void
-  /** What the upstream says of itself with its answer. */
-  readonly onDidState: (statements: readonly UpstreamStatement[]) => void
-  /** The first event of a stream, or the whole answer, has arrived. */
-  readonly onDidProduce: () => void
+  /** Receives what the upstream states about itself in the head of its answer. */
+  readonly onDidReadStatements: (statements: readonly UpstreamStatement[]) => void
+  /** Called when the first event of a stream, or the whole answer, has arrived. */
+  readonly onDidReceiveFirstOutput: () => void
   readonly localAddress?: string
 }
 
-/** How an attempt ended, with the upstream's failure where it answered with one. */
+/** How an attempt ended, with the upstream's own error response if there is one. */
 export interface AttemptResult {
   readonly outcome: AttemptOutcome
-  readonly failure?: WholeAnswer
-  /** The upstream kept silent for too long, and this side closed the connection. */
+  readonly failure?: BufferedAnswer
+  /** The upstream did not respond in time, and this side closed the connection. */
   readonly hasTimedOut?: boolean
 }
 
-/** Hosts are a millisecond apart; one that does not accept a connection within this is not there. */
+/** Network latency between hosts is about 1 ms, so a host that needs longer to accept a connection is unreachable. */
 const CONNECT_TIMEOUT_MS = 400
-/** Answers up to this size are read whole before they are handed on, so that a torn one can be replaced. */
+/** Answers up to this size are buffered before they are forwarded, so that an incomplete one can be retried. */
 const MAX_BUFFERED_BYTES = 256 * 1024
-/** The longest that a timer can be set for. */
-const NO_TIMEOUT = 2 ** 31 - 1
+/** Longest delay that setTimeout accepts. */
+const MAX_TIMER_MS = 2 ** 31 - 1
 
 export class RelayAttempt {
   private readonly _options: RelayAttemptOptions
   private _timer: { dispose (): void } | undefined
-  private _timedOut = false
+  private _hasTimedOut = false
 
   constructor (options: RelayAttemptOptions) {
     this._options = options
@@ -65,7 +65,7 @@
     const onAbort = () => controller.abort()
     if (signal.aborted) return { outcome: { kind: 'cancelled' } }
     signal.addEventListener('abort', onAbort, { once: true })
-    this._watch(this._options.headTimeoutMs, onAbort)
+    this._startTimeout(this._options.responseTimeoutMs, onAbort)
     try {
       const start = await startExchange({
         address: call.upstream.address,
@@ -79,8 +79,8 @@
         signal: controller.signal,
         onWillSend: this._options.onWillSend
       })
-      if (start.kind !== 'response') return { outcome: this._decideNoAnswer(start), hasTimedOut: this._timedOut }
-      return { ...await this._readAnswer(start.response, start.exchange), hasTimedOut: this._timedOut }
+      if (start.kind !== 'response') return { outcome: this._decideNoAnswer(start), hasTimedOut: this._hasTimedOut }
+      return { ...await this._readAnswer(start.response, start.exchange), hasTimedOut: this._hasTimedOut }
     } finally {
       this._timer?.dispose()
       signal.removeEventListener('abort', onAbort)
@@ -90,16 +90,16 @@
   private _decideNoAnswer (start: Exclude<ExchangeStart, { readonly kind: 'response' }>): AttemptOutcome {
     if (this._options.signal.aborted) return { kind: 'cancelled' }
     if (start.kind === 'notSent') return { kind: 'notRun', reason: start.isWithheld ? 'withheld' : 'unreachable' }
-    return { kind: 'lost', reason: this._timedOut ? 'no answer in time' : start.reason }
+    return { kind: 'lost', reason: this._hasTimedOut ? 'upstream timed out' : start.reason }
   }
 
   private async _readAnswer (response: IncomingMessage, exchange: IExchange): Promise<AttemptResult> {
     const { protocol, call, onDidReadLoad } = this._options
-    // Errors of the response are told by its close.
+    // An error of the response is followed by its close, which is handled below.
     response.on('error', () => {})
     const head = { status: response.statusCode ?? 0, headers: response.headers, rawHeaders: response.rawHeaders }
     const verdict = protocol.readHead(head, call)
-    this._options.onDidState(protocol.readStatements(head, call))
+    this._options.onDidReadStatements(protocol.readStatements(head, call))
     const load = protocol.readLoad(head)
     if (load !== undefined) onDidReadLoad(load)
     if (verdict.kind === 'invalid') {
@@ -107,25 +107,25 @@
       return { outcome: { kind: 'lost', reason: verdict.reason } }
     }
     if (verdict.kind === 'notRun') {
-      this._drain(response, exchange)
+      this._drainResponse(response, exchange)
       return { outcome: { kind: 'notRun', reason: verdict.reason } }
     }
-    // The rest of the request would be sent to an upstream that no longer wants it.
+    // The upstream answered before it read the whole request; closing stops sending the rest.
     if (!exchange.wasWritten) response.once('end', () => exchange.cancel())
     if (verdict.isSuccess && this._options.isStream) return { outcome: await this._forwardStream(response, exchange, verdict) }
-    return await this._forwardWhole(response, exchange, verdict)
+    return await this._forwardAnswer(response, exchange, verdict)
   }
 
-  /** Reads the rest of a short answer, so that its connection can be used again. */
-  private _drain (response: IncomingMessage, exchange: IExchange): void {
+  /** Reads the rest of a short answer, so that its connection can be reused. */
+  private _drainResponse (response: IncomingMessage, exchange: IExchange): void {
     const timer = this._options.clock.schedule(1000, () => exchange.cancel())
     response.once('close', () => timer.dispose())
     if (exchange.wasWritten) response.resume()
     else exchange.cancel()
   }
 
-  private async _forwardWhole (response: IncomingMessage, exchange: IExchange, verdict: AnswerVerdict & { readonly kind: 'answer' }): Promise<AttemptResult> {
-    const { answer, onDidProduce } = this._options
+  private async _forwardAnswer (response: IncomingMessage, exchange: IExchange, verdict: AnswerVerdict & { readonly kind: 'answer' }): Promise<AttemptResult> {
+    const { answer, onDidReceiveFirstOutput } = this._options
     const status = response.statusCode ?? 0
     const parts: Buffer[] = []
     let size = 0
@@ -135,62 +135,62 @@
         size += part.length
         if (size <= MAX_BUFFERED_BYTES || !verdict.isSuccess) continue
         answer.begin(status, verdict.headers, isFramed(response))
-        for (const held of parts.splice(0)) if (!answer.write(held)) await answer.waitForRoom()
+        for (const buffered of parts.splice(0)) if (!answer.write(buffered)) await answer.waitForDrain()
       }
     } catch {
-      return { outcome: this._decideTorn() }
+      return { outcome: this._decideIncomplete() }
     }
-    if (!isWhole(response, exchange)) return { outcome: this._decideTorn() }
-    onDidProduce()
-    const whole = { status, headers: verdict.headers, body: Buffer.concat(parts), isFramed: isFramed(response) }
-    if (!verdict.isSuccess) return { outcome: { kind: 'failed', status }, failure: whole }
-    if (answer.isBegun) {
-      for (const held of parts) answer.write(held)
+    if (!isComplete(response, exchange)) return { outcome: this._decideIncomplete() }
+    onDidReceiveFirstOutput()
+    const bufferedAnswer = { status, headers: verdict.headers, body: Buffer.concat(parts), isFramed: isFramed(response) }
+    if (!verdict.isSuccess) return { outcome: { kind: 'failed', status }, failure: bufferedAnswer }
+    if (answer.hasBegun) {
+      for (const buffered of parts) answer.write(buffered)
       answer.finish()
     } else {
-      answer.send(whole)
+      answer.send(bufferedAnswer)
     }
     return { outcome: { kind: 'delivered' } }
   }
 
-  private _decideTorn (): AttemptOutcome {
+  private _decideIncomplete (): AttemptOutcome {
     if (this._options.signal.aborted) return { kind: 'cancelled' }
-    const reason = this._timedOut ? 'no answer in time' : 'answer torn'
-    return this._options.answer.isBegun ? { kind: 'broken', lastEventId: undefined, reason } : { kind: 'lost', reason }
+    const reason = this._hasTimedOut ? 'upstream timed out' : 'answer incomplete'
+    return this._options.answer.hasBegun ? { kind: 'broken', lastEventId: undefined, reason } : { kind: 'lost', reason }
   }
 
   private async _forwardStream (response: IncomingMessage, exchange: IExchange, verdict: AnswerVerdict & { readonly kind: 'answer' }): Promise<AttemptOutcome> {
-    const { answer, call, onDidProduce, pauseTimeoutMs } = this._options
+    const { answer, call, onDidReceiveFirstOutput, pauseTimeoutMs } = this._options
     const splitter = new EventSplitter()
     let lastEventId = call.lastEventId
     let count = 0
     const onPause = () => exchange.cancel()
-    this._watch(Math.max(pauseTimeoutMs, this._options.headTimeoutMs), onPause)
+    this._startTimeout(Math.max(pauseTimeoutMs, this._options.responseTimeoutMs), onPause)
     try {
       for await (const part of response as AsyncIterable<Buffer>) {
         const events = splitter.add(part)
         if (splitter.isTooLarge) break
         if (events.length === 0) continue
-        this._watch(pauseTimeoutMs, onPause)
-        if (count === 0) onDidProduce()
+        this._startTimeout(pauseTimeoutMs, onPause)
+        if (count === 0) onDidReceiveFirstOutput()
         count += events.length
-        // A stream that goes on elsewhere keeps the head of the upstream that began it.
+        // A stream that resumes at another upstream keeps the head that the first one sent.
         answer.begin(response.statusCode ?? 0, verdict.headers, isFramed(response))
         let hasRoom = true
         for (const event of events) {
           hasRoom = answer.write(event.bytes)
           lastEventId = event.id ?? lastEventId
         }
-        if (!hasRoom) await answer.waitForRoom()
+        if (!hasRoom) await answer.waitForDrain()
       }
     } catch {
       return this._decideBrokenStream(lastEventId)
     }
-    if (!isWhole(response, exchange) || splitter.pendingBytes > 0) {
+    if (!isComplete(response, exchange) || splitter.pendingBytes > 0) {
       exchange.cancel()
       return this._decideBrokenStream(lastEventId)
     }
-    if (count === 0) onDidProduce()
+    if (count === 0) onDidReceiveFirstOutput()
     answer.begin(response.statusCode ?? 0, verdict.headers, isFramed(response))
     answer.finish()
     return { kind: 'delivered' }
@@ -198,16 +198,16 @@
 
   private _decideBrokenStream (lastEventId: string | undefined): AttemptOutcome {
     if (this._options.signal.aborted) return { kind: 'cancelled' }
-    const reason = this._timedOut ? 'stream paused too long' : 'stream broke off'
-    return this._options.answer.isBegun ? { kind: 'broken', lastEventId, reason } : { kind: 'lost', reason }
+    const reason = this._hasTimedOut ? 'stream paused too long' : 'stream ended early'
+    return this._options.answer.hasBegun ? { kind: 'broken', lastEventId, reason } : { kind: 'lost', reason }
   }
 
-  private _watch (timeoutMs: number, run: () => void): void {
+  private _startTimeout (timeoutMs: number, onTimeout: () => void): void {
     this._timer?.dispose()
-    this._timer = this._options.clock.schedule(Math.min(timeoutMs, NO_TIMEOUT), () => {
-      this._timedOut = true
+    this._timer = this._options.clock.schedule(Math.min(timeoutMs, MAX_TIMER_MS), () => {
+      this._hasTimedOut = true
       dropIdleConnections(this._options.agent, this._options.call.upstream.address)
-      run()
+      onTimeout()
     })
   }
 }
@@ -216,7 +216,7 @@
   return response.headers['content-length'] !== undefined || response.headers['transfer-encoding'] !== undefined
 }
 
-/** A body that ends with its connection is whole only when that was closed, not reset. */
-function isWhole (response: IncomingMessage, exchange: IExchange): boolean {
+/** A body that is delimited by the end of its connection is complete only if the connection was closed, not reset. */
+function isComplete (response: IncomingMessage, exchange: IExchange): boolean {
   return response.complete && (isFramed(response) || !exchange.hasFailed)
 }
--- a/src/services/relay/node/relayContext.ts
+++ b/src/services/relay/node/relayContext.ts
@@ -1,5 +1,5 @@
 /**
- * What every request at the relay is given.
+ * Services that all requests of the relay share.
  */
 import type { Agent } from 'node:http'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -24,7 +24,7 @@
   readonly random: IRandom
   readonly log: ILogService
   readonly hall: string
-  /** Without it no request is bound to regions. */
+  /** Regions of the halls; without it home regions are not enforced. */
   readonly regions?: HallRegions
   readonly localAddress?: string
   readonly agent: Agent
@@ -39,6 +39,6 @@
   readonly preparation: IPreparationService
   readonly releaseDelay: ReleaseDelay
   readonly quarantine: IQuarantineService
-  /** Sends a refusal in the callers' protocol, and logs it under the request's id. */
+  /** Sends a refusal in the callers' protocol and logs it with the request's id. */
   readonly refuse: (answer: CallerAnswer, refusal: RelayRefusal, requestId: string) => void
 }
--- a/src/services/relay/node/relayRun.ts
+++ b/src/services/relay/node/relayRun.ts
@@ -1,6 +1,6 @@
 /**
- * One request at the relay: prepares what it needs, sends it to upstreams one after another until one delivers, and
- * ends it with an answer or an honest refusal.
+ * Runs one request at the relay: prepares its inputs, sends it to one upstream after another until one delivers an
+ * answer, and otherwise answers with a refusal that states whether the request may have run.
  */
 import type { IDisposable } from '../../../base/common/disposable.ts'
 import { RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -10,133 +10,133 @@
 import type { PictureAge, UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { LostPieces } from '../../preparation/common/preparationService.ts'
 import type { JobRefusal } from '../../preparation/common/preparationJob.ts'
-import { computeHeadTimeout, computePauseTimeout } from '../common/attemptTimes.ts'
-import { decideAfterAttempt, hasFailedUpstream, hasLostRun, hasTaken, isWithheld } from '../common/attemptDecision.ts'
+import { computeResponseTimeoutMs, computePauseTimeoutMs } from '../common/attemptTimes.ts'
+import { decideAfterAttempt, isUpstreamFailure, isConnectionLost, isAccepted, isWithheld } from '../common/attemptDecision.ts'
 import type { AttemptDecision, AttemptOutcome } from '../common/attemptDecision.ts'
 import { createPreparationJob } from '../common/preparationNeed.ts'
-import type { PoolVisit } from '../common/relayPool.ts'
-import { ELSEWHERE_RETRY_MS } from '../common/relayProtocol.ts'
+import type { InFlightRequest } from '../common/relayPool.ts'
+import { OTHER_NODE_RETRY_MS } from '../common/relayProtocol.ts'
 import type { RelayRefusal } from '../common/relayProtocol.ts'
 import { isRepeatable, pickTarget } from '../common/relayTable.ts'
 import { RelayAttempt } from './relayAttempt.ts'
 import type { AttemptResult } from './relayAttempt.ts'
 import type { RelayContext } from './relayContext.ts'
 import { RequestInputs } from './requestInputs.ts'
-import { RequestSuspect } from './requestSuspect.ts'
-import type { TakenRequest } from './takenRequest.ts'
-import { UpstreamChoice } from './upstreamChoice.ts'
+import { RequestFingerprint } from './requestSuspect.ts'
+import type { AcceptedRequest } from './takenRequest.ts'
+import { UpstreamSelector } from './upstreamChoice.ts'
 
 /** How a request ended, for logs and metrics. */
-export interface RelayEnd {
+export interface RelayOutcome {
   readonly result: ResultName | 'delivered' | 'passedOn'
   readonly attempts: number
   readonly preparedMs: number
-  /** From when the results were there to the first event or the whole answer; 0 when there was none. */
+  /** Time from the end of preparation to the first event of a stream or the end of a whole answer; 0 without either. */
   readonly producedMs: number
   readonly lastUpstream: string
-  /** How current the upstreams were when the last one was chosen. */
+  /** Revision and age of the list of upstreams when the last attempt was sent. */
   readonly known: PictureAge
 }
 
-/** Less than this is left for an answer's way back to the caller. */
+/** Time reserved before the deadline for sending the answer back to the caller. */
 const ANSWER_MARGIN_MS = 20
-/** A further attempt needs at least this much time. */
+/** Time that must be left for a further attempt, also after waiting for an upstream. */
 const MIN_ATTEMPT_MS = 50
-const RETRY_SOON_MS = 300
-/** A request that has been producing for so long is not what ended its upstream. */
-const MAX_BEGUN_MS = 1000
+const DEFAULT_RETRY_MS = 300
+/** A crash that comes longer than this after the attempt's first output is not attributed to the request. */
+const CRASH_ATTRIBUTION_MS = 1000
 
 export class RelayRun {
   private _sendCount = 0
   private _runCount = 0
   private _lastEventId: string | undefined
-  private _isAtUpstream = false
-  private _isGivenUp = false
+  private _isAttemptActive = false
+  private _isStopping = false
   private _producedMs = 0
   private _lastUpstream = ''
-  private _known: PictureAge
-  /** When the attempt under way was sent, and when it first produced something. */
+  private _registryAge: PictureAge
+  /** When the current attempt was sent, and when its first output arrived; Infinity before that. */
   private _sentAt = 0
-  private _producedAt = Infinity
-  /** Upstreams that ended under this try. */
-  private _endedCount = 0
-  private _standing = NO_STANDING
-  private readonly _suspect: RequestSuspect
+  private _firstOutputAt = Infinity
+  /** Upstreams that crashed during attempts of this run. */
+  private _crashCount = 0
+  private _quarantineState = NO_STANDING
+  private readonly _fingerprint: RequestFingerprint
   private readonly _inputs: RequestInputs
-  /** Settles when it is known of all upstreams that were lost over its pieces whether they ended. */
-  private _lossesNoted: Promise<unknown> = Promise.resolve()
-  private readonly _tried = new Set<string>()
-  private readonly _abort = new AbortController()
-  private readonly _preparing = new AbortController()
+  /** Resolves once each upstream that was lost while computing the request's pieces is known to have crashed or not. */
+  private _lossesRecorded: Promise<unknown> = Promise.resolve()
+  private readonly _triedUpstreams = new Set<string>()
+  private readonly _abortController = new AbortController()
+  private readonly _preparationAbort = new AbortController()
   private readonly _deadlineAt: number
   private readonly _role: string
-  private readonly _choice: UpstreamChoice
+  private readonly _selector: UpstreamSelector
 
-  constructor (private readonly _context: RelayContext, private readonly _taken: TakenRequest) {
-    const { route, request, arrivedAt } = _taken
+  constructor (private readonly _context: RelayContext, private readonly _accepted: AcceptedRequest) {
+    const { route, request, arrivedAt } = _accepted
     this._deadlineAt = arrivedAt + Math.min(route.timeoutMs, request.timeLeftMs ?? Infinity)
     this._lastEventId = request.lastEventId
-    this._suspect = new RequestSuspect({ ...request, customer: _taken.customer, body: _taken.body })
+    this._fingerprint = new RequestFingerprint({ ...request, customer: _accepted.customer, body: _accepted.body })
     this._inputs = new RequestInputs({
       context: _context,
-      signals: [this._abort.signal, this._preparing.signal],
-      onDidLose: lost => { this._lossesNoted = Promise.all([this._lossesNoted, this._noteLostPieces(lost)]) }
+      signals: [this._abortController.signal, this._preparationAbort.signal],
+      onDidLosePieces: lost => { this._lossesRecorded = Promise.all([this._lossesRecorded, this._recordLostPieces(lost)]) }
     })
     this._role = pickTarget(route.targets, _context.random)
-    this._choice = new UpstreamChoice({ context: _context, taken: _taken, role: this._role, inputs: this._inputs, tried: this._tried, signal: this._abort.signal })
-    this._known = _context.registry.computeAge(arrivedAt)
+    this._selector = new UpstreamSelector({ context: _context, accepted: _accepted, role: this._role, inputs: this._inputs, tried: this._triedUpstreams, signal: this._abortController.signal })
+    this._registryAge = _context.registry.computeAge(arrivedAt)
   }
 
-  /** Runs to the end; the caller has its answer, or is gone, when it resolves. */
-  async run (): Promise<RelayEnd> {
-    const left = this._taken.answer.onDidLeave(() => this._abort.abort())
-    // The operator wants no request held longer, whatever it waits for.
-    const timer = this._context.clock.schedule(this._deadlineAt - ANSWER_MARGIN_MS - this._context.clock.now(), () => this._abort.abort())
+  /** Resolves once the caller has its answer or has disconnected. */
+  async run (): Promise<RelayOutcome> {
+    const disconnectListener = this._accepted.answer.onDidDisconnect(() => this._abortController.abort())
+    // Enforces the route's timeout in every phase: preparation, waiting for an upstream, and attempts.
+    const deadlineTimer = this._context.clock.schedule(this._deadlineAt - ANSWER_MARGIN_MS - this._context.clock.now(), () => this._abortController.abort())
     try {
       this._context.retry.recordFirstAttempt(this._role)
-      return this._end(await this._runAttempts())
+      return this._createOutcome(await this._runAttempts())
     } finally {
-      timer.dispose()
-      left.dispose()
+      deadlineTimer.dispose()
+      disconnectListener.dispose()
       this._inputs.end()
     }
   }
 
-  /** Ends a request that waits, since this node will not be there to send it; one that was sent goes on. */
-  giveUpWaiting (): void {
-    if (this._isAtUpstream || this._abort.signal.aborted) return
-    this._isGivenUp = true
-    this._abort.abort()
+  /** Refuses the request if it has not been sent yet, because this node is stopping; an attempt in flight continues. */
+  refuseIfWaiting (): void {
+    if (this._isAttemptActive || this._abortController.signal.aborted) return
+    this._isStopping = true
+    this._abortController.abort()
   }
 
-  private _end (result: RelayEnd['result']): RelayEnd {
-    return { result, attempts: this._sendCount, preparedMs: Math.round(this._inputs.preparedMs), producedMs: Math.round(this._producedMs), lastUpstream: this._lastUpstream, known: this._known }
+  private _createOutcome (result: RelayOutcome['result']): RelayOutcome {
+    return { result, attempts: this._sendCount, preparedMs: Math.round(this._inputs.preparedMs), producedMs: Math.round(this._producedMs), lastUpstream: this._lastUpstream, known: this._registryAge }
   }
 
-  private async _runAttempts (): Promise<RelayEnd['result']> {
-    const refused = this._refuseQuarantined() ?? await this._prepare()
-    if (refused !== undefined) return refused
+  private async _runAttempts (): Promise<RelayOutcome['result']> {
+    const initialRefusal = this._refuseQuarantined() ?? await this._prepare()
+    if (initialRefusal !== undefined) return initialRefusal
     for (;;) {
       const quarantined = this._refuseQuarantined()
       if (quarantined !== undefined) return quarantined
-      if (this._inputs.isUsedUp) {
-        const failed = await this._prepareAgain()
-        if (failed !== undefined) return failed
+      if (this._inputs.hasReleasedResults) {
+        const preparationRefusal = await this._prepareAgain()
+        if (preparationRefusal !== undefined) return preparationRefusal
       }
-      const upstream = await this._choice.acquire({ suspectKey: this._standing.ends > 0 ? this._suspect.getDigest() : undefined, timeLeftMs: this._getTimeLeft() - MIN_ATTEMPT_MS })
+      const upstream = await this._selector.acquire({ suspectKey: this._quarantineState.ends > 0 ? this._fingerprint.getDigest() : undefined, timeLeftMs: this._getTimeLeft() - MIN_ATTEMPT_MS })
       if (upstream === undefined) return this._refuseWithoutUpstream()
       const result = await this._tryUpstream(upstream)
-      await this._noteEnd(upstream, result)
+      await this._recordAttemptEnd(upstream, result)
       const decision = this._decide(result.outcome, upstream)
-      this._noteOutcome(upstream, result.outcome, decision)
-      if (decision.kind === 'retry' && this._mayRetry(result.outcome)) {
+      this._logAttempt(upstream, result.outcome, decision)
+      if (decision.kind === 'retry' && this._acquireRetry(result.outcome)) {
         if (decision.isResume && result.outcome.kind === 'broken') this._lastEventId = result.outcome.lastEventId
         continue
       }
-      if (decision.kind === 'prepareAgain' && this._mayRetry(result.outcome)) {
-        this._tried.delete(upstream.id)
-        const failed = await this._prepareAgain()
-        if (failed !== undefined) return failed
+      if (decision.kind === 'prepareAgain' && this._acquireRetry(result.outcome)) {
+        this._triedUpstreams.delete(upstream.id)
+        const preparationRefusal = await this._prepareAgain()
+        if (preparationRefusal !== undefined) return preparationRefusal
         continue
       }
       return this._finish(result)
@@ -144,50 +144,50 @@
   }
 
   private async _prepare (): Promise<ResultName | undefined> {
-    const { request, route } = this._taken
-    const isSuspect = this._standing.ends > 0
-    // Whatever is made for it would be thrown away.
-    if (!this._choice.mayPrepare(Math.max(0, this._getTimeLeft() - MIN_ATTEMPT_MS))) return this._refuseWithoutUpstream()
-    const job = createPreparationJob({ request, route, role: this._role, priority: this._taken.priority, homeHalls: this._taken.homeHalls, excludedTargets: this._choice.listBackingOff().map(({ id }) => id), deadlineInMs: this._getTimeLeft(), isSuspect })
-    return job === undefined ? undefined : await this._takePreparation(await this._inputs.prepare(job))
+    const { request, route } = this._accepted
+    const isSuspect = this._quarantineState.ends > 0
+    // Prepared results would be discarded: no upstream accepts the request in time.
+    if (!this._selector.canPrepare(Math.max(0, this._getTimeLeft() - MIN_ATTEMPT_MS))) return this._refuseWithoutUpstream()
+    const job = createPreparationJob({ request, route, role: this._role, priority: this._accepted.priority, homeHalls: this._accepted.homeHalls, excludedTargets: this._selector.listBackingOff().map(({ id }) => id), deadlineInMs: this._getTimeLeft(), isSuspect })
+    return job === undefined ? undefined : await this._handlePreparation(await this._inputs.prepare(job))
   }
 
   private async _prepareAgain (): Promise<ResultName | undefined> {
-    if (!this._inputs.isPrepared) return this._refuse('upstreamRefused', 'the upstream wants inputs that the route does not have', this._runCount === 0)
-    return await this._takePreparation(await this._inputs.prepareAgain())
+    if (!this._inputs.isPrepared) return this._refuse('upstreamRefused', 'the upstream reported missing inputs, but the request has no prepared ones', this._runCount === 0)
+    return await this._handlePreparation(await this._inputs.prepareAgain())
   }
 
-  private async _takePreparation (refusal: JobRefusal | undefined): Promise<ResultName | undefined> {
+  private async _handlePreparation (refusal: JobRefusal | undefined): Promise<ResultName | undefined> {
     if (refusal === undefined) return undefined
-    await this._lossesNoted
+    await this._lossesRecorded
     return this._refuseQuarantined() ?? this._refusePreparation(refusal)
   }
 
-  /** Ends preparation as soon as the request is known to end what makes its pieces. */
-  private async _noteLostPieces ({ upstreamId, sentAt, endedAt }: LostPieces): Promise<void> {
+  /** Aborts preparation as soon as the request is quarantined for crashing the upstreams that compute its pieces. */
+  private async _recordLostPieces ({ upstreamId, sentAt, endedAt }: LostPieces): Promise<void> {
     const { registry, log } = this._context
     const upstream = registry.get(upstreamId)
     if (upstream === undefined) return
-    const isEnded = await this._noteLost(upstream, sentAt, endedAt)
-    log.info('pieces_lost', { request: this._taken.request.id, upstream: upstreamId, digest: this._suspect.getDigest(), ended: isEnded, ends: this._standing.ends })
-    if (this._standing.isQuarantined) this._preparing.abort()
+    const hasCrashed = await this._recordLostConnection(upstream, sentAt, endedAt)
+    log.info('pieces_lost', { request: this._accepted.request.id, upstream: upstreamId, digest: this._fingerprint.getDigest(), ended: hasCrashed, ends: this._quarantineState.ends })
+    if (this._quarantineState.isQuarantined) this._preparationAbort.abort()
   }
 
   private async _tryUpstream (upstream: UpstreamEntry): Promise<AttemptResult> {
-    const { context, taken } = { context: this._context, taken: this._taken }
-    const { request, route } = taken
+    const { context, accepted } = { context: this._context, accepted: this._accepted }
+    const { request, route } = accepted
     const isStream = route.kind === RouteKind.STREAM
     this._sendCount++
     this._lastUpstream = upstream.id
-    this._tried.add(upstream.id)
-    const visit = context.pool.begin(upstream, { prompt: request.prompt, isSuspect: this._standing.ends > 0 })
+    this._triedUpstreams.add(upstream.id)
+    const inFlightRequest = context.pool.begin(upstream, { prompt: request.prompt, isSuspect: this._quarantineState.ends > 0 })
     const timeLeftMs = this._getTimeLeft()
     this._sentAt = context.clock.now()
-    this._producedAt = Infinity
-    this._known = context.registry.computeAge(this._sentAt)
-    let releasing: IDisposable | undefined
+    this._firstOutputAt = Infinity
+    this._registryAge = context.registry.computeAge(this._sentAt)
+    let scheduledRelease: IDisposable | undefined
     let writtenAt: number | undefined
-    this._isAtUpstream = true
+    this._isAttemptActive = true
     const result = await new RelayAttempt({
       agent: context.agent,
       clock: context.clock,
@@ -195,89 +195,89 @@
       call: {
         request,
         upstream,
-        customer: taken.customer,
+        customer: accepted.customer,
         timeLeftMs,
-        priority: taken.priority,
+        priority: accepted.priority,
         inputs: this._inputs.handles,
         prefixSource: this._inputs.findPrefixSource(upstream),
         lastEventId: this._lastEventId,
-        bodyBytes: taken.body.length
+        bodyBytes: accepted.body.length
       },
-      body: taken.body,
-      answer: taken.answer,
+      body: accepted.body,
+      answer: accepted.answer,
       isStream,
-      headTimeoutMs: computeHeadTimeout(route, this._runCount, timeLeftMs),
-      pauseTimeoutMs: computePauseTimeout(route),
-      signal: this._abort.signal,
+      responseTimeoutMs: computeResponseTimeoutMs(route, this._runCount, timeLeftMs),
+      pauseTimeoutMs: computePauseTimeoutMs(route),
+      signal: this._abortController.signal,
       onWillSend: () => {
         if (!context.guard.maySend(upstream.id, request.id)) return false
         writtenAt = context.clock.now()
-        releasing = this._inputs.scheduleRelease()
+        scheduledRelease = this._inputs.scheduleRelease()
         return true
       },
-      onDidState: statements => context.noteStatements({ upstream: upstream.id, statements }),
+      onDidReadStatements: statements => context.noteStatements({ upstream: upstream.id, statements }),
       onDidReadLoad: load => context.pool.recordLoad(upstream, load),
-      onDidProduce: () => {
+      onDidReceiveFirstOutput: () => {
         if (writtenAt !== undefined) context.backoffs.settleSend(upstream.id, writtenAt, true)
-        this._noteProduced(visit, upstream)
+        this._recordFirstOutput(inFlightRequest, upstream)
       },
       localAddress: context.localAddress
     }).run()
-    this._isAtUpstream = false
+    this._isAttemptActive = false
     if (isWithheld(result.outcome)) this._withdrawSend(upstream)
-    if (writtenAt !== undefined) context.backoffs.settleSend(upstream.id, writtenAt, hasTaken(result.outcome))
-    visit.end(result.outcome)
-    // What was not taken is still there for another upstream.
-    if (result.outcome.kind === 'notRun') releasing?.dispose()
-    this._inputs.noteOutcome(result.outcome)
-    if (hasFailedUpstream(result.outcome)) this._inputs.report(upstream, { outcome: 'failed', producedMs: 0 })
+    if (writtenAt !== undefined) context.backoffs.settleSend(upstream.id, writtenAt, isAccepted(result.outcome))
+    inFlightRequest.end(result.outcome)
+    // The upstream did not consume the results, so they stay available to the next attempt.
+    if (result.outcome.kind === 'notRun') scheduledRelease?.dispose()
+    this._inputs.recordOutcome(result.outcome)
+    if (isUpstreamFailure(result.outcome)) this._inputs.report(upstream, { outcome: 'failed', producedMs: 0 })
     return result
   }
 
-  private _noteProduced (visit: PoolVisit, upstream: UpstreamEntry): void {
-    visit.noteProduced()
-    this._producedAt = this._context.clock.now()
-    this._inputs.report(upstream, { outcome: 'produced', producedMs: this._producedAt - this._sentAt })
-    if (this._producedMs === 0) this._producedMs = this._context.clock.now() - this._taken.arrivedAt - this._inputs.preparedMs
+  private _recordFirstOutput (inFlightRequest: InFlightRequest, upstream: UpstreamEntry): void {
+    inFlightRequest.recordFirstOutput()
+    this._firstOutputAt = this._context.clock.now()
+    this._inputs.report(upstream, { outcome: 'produced', producedMs: this._firstOutputAt - this._sentAt })
+    if (this._producedMs === 0) this._producedMs = this._context.clock.now() - this._accepted.arrivedAt - this._inputs.preparedMs
     this._inputs.release()
   }
 
   /**
-   * Tells the quarantine how the upstream fared, and waits until it knows whether that ended: neither a further attempt
-   * nor a caller that comes back at once may be sent on before.
+   * Reports the attempt to the quarantine service and waits until it knows whether the upstream crashed. Neither a
+   * further attempt nor an immediate retry by the caller may be sent before that is known.
    */
-  private async _noteEnd (upstream: UpstreamEntry, { outcome, hasTimedOut = false }: AttemptResult): Promise<void> {
+  private async _recordAttemptEnd (upstream: UpstreamEntry, { outcome, hasTimedOut = false }: AttemptResult): Promise<void> {
     const { clock, quarantine } = this._context
     const endedAt = clock.now()
-    if (outcome.kind === 'delivered') return quarantine.noteServed(this._suspect)
-    if (!hasLostRun(outcome) || hasTimedOut || endedAt - this._producedAt > MAX_BEGUN_MS) return
-    if (await this._noteLost(upstream, this._sentAt, endedAt)) this._endedCount++
+    if (outcome.kind === 'delivered') return quarantine.noteServed(this._fingerprint)
+    if (!isConnectionLost(outcome) || hasTimedOut || endedAt - this._firstOutputAt > CRASH_ATTRIBUTION_MS) return
+    if (await this._recordLostConnection(upstream, this._sentAt, endedAt)) this._crashCount++
   }
 
-  private async _noteLost (upstream: UpstreamEntry, sentAt: number, endedAt: number): Promise<boolean> {
+  private async _recordLostConnection (upstream: UpstreamEntry, sentAt: number, endedAt: number): Promise<boolean> {
     const { quarantine } = this._context
-    const isEnded = await quarantine.noteLost({ digest: this._suspect.getDigest(), bodyBytes: this._suspect.bodyBytes, upstream: upstream.id, address: upstream.address, sentAt, endedAt })
-    this._standing = quarantine.judge(this._suspect)
-    return isEnded
+    const hasCrashed = await quarantine.noteLost({ digest: this._fingerprint.getDigest(), bodyBytes: this._fingerprint.bodyBytes, upstream: upstream.id, address: upstream.address, sentAt, endedAt })
+    this._quarantineState = quarantine.judge(this._fingerprint)
+    return hasCrashed
   }
 
-  /** A request that ends what runs it is sent nowhere, at whatever node its caller tries. */
+  /** Refuses a request that has crashed too many upstreams; all nodes share the quarantine. */
   private _refuseQuarantined (): ResultName | undefined {
     const { quarantine } = this._context
-    this._standing = quarantine.judge(this._suspect)
-    if (!this._standing.isQuarantined) return undefined
-    quarantine.reportRefusal(this._taken.request.id, this._suspect, this._standing)
-    return this._refuse('requestQuarantined', `${this._standing.ends} upstreams ended under its tries`, this._runCount === 0)
+    this._quarantineState = quarantine.judge(this._fingerprint)
+    if (!this._quarantineState.isQuarantined) return undefined
+    quarantine.reportRefusal(this._accepted.request.id, this._fingerprint, this._quarantineState)
+    return this._refuse('requestQuarantined', `${this._quarantineState.ends} upstreams crashed while running this request`, this._runCount === 0)
   }
 
-  /** Nothing was written, so this was no send. */
+  /** Nothing was written, so the attempt does not count as sent. */
   private _withdrawSend (upstream: UpstreamEntry): void {
     this._sendCount--
-    this._tried.delete(upstream.id)
+    this._triedUpstreams.delete(upstream.id)
   }
 
   private _decide (outcome: AttemptOutcome, upstream: UpstreamEntry): AttemptDecision {
-    const { route } = this._taken
+    const { route } = this._accepted
     if (outcome.kind !== 'notRun') this._runCount++
     if (outcome.kind === 'notRun' && outcome.reason === 'otherUpstream') this._context.registry.dropForGood(upstream.id, 'address answers as another')
     return decideAfterAttempt({
@@ -286,76 +286,76 @@
       isResumable: route.isResumable,
       runCount: this._runCount,
       sendCount: this._sendCount,
-      // What is held against the request has this try's ends as well, but for those that were not told.
-      endedCount: Math.max(this._standing.ends, this._endedCount),
+      // The quarantine's count includes crashes of this run, except those that were not reported to it.
+      crashCount: Math.max(this._quarantineState.ends, this._crashCount),
       maxAttempts: route.maxAttempts,
       timeLeftMs: this._getTimeLeft(),
       minTimeMs: MIN_ATTEMPT_MS
     })
   }
 
-  /** What was never written is no arrival at an upstream, and costs no budget. */
-  private _mayRetry (outcome: AttemptOutcome): boolean {
-    if (this._abort.signal.aborted) return false
+  /** Takes a retry from the budget. An attempt that was never written did not reach an upstream and costs nothing. */
+  private _acquireRetry (outcome: AttemptOutcome): boolean {
+    if (this._abortController.signal.aborted) return false
     if (isWithheld(outcome) || (outcome.kind === 'notRun' && outcome.reason === 'unreachable')) return true
     return this._context.retry.takeRetry(this._role)
   }
 
-  private _finish (result: AttemptResult): RelayEnd['result'] {
+  private _finish (result: AttemptResult): RelayOutcome['result'] {
     const { outcome, failure } = result
     if (outcome.kind === 'delivered') return 'delivered'
-    if (this._taken.answer.hasLeft) return 'cancelled'
+    if (this._accepted.answer.hasDisconnected) return 'cancelled'
     if (outcome.kind === 'broken') {
-      this._taken.answer.cut()
+      this._accepted.answer.abort()
       return 'answerTorn'
     }
     if (failure !== undefined) {
-      this._taken.answer.send(failure)
+      this._accepted.answer.send(failure)
       return 'passedOn'
     }
-    if (this._taken.answer.isBegun) {
-      this._taken.answer.cut()
+    if (this._accepted.answer.hasBegun) {
+      this._accepted.answer.abort()
       return 'answerTorn'
     }
-    if (outcome.kind === 'cancelled') return this._refuseLate()
-    if (outcome.kind === 'notRun') return this._refuse('overloaded', `upstream: ${outcome.reason}`, this._runCount === 0, RETRY_SOON_MS)
+    if (outcome.kind === 'cancelled') return this._refuseAborted()
+    if (outcome.kind === 'notRun') return this._refuse('overloaded', `upstream: ${outcome.reason}`, this._runCount === 0, DEFAULT_RETRY_MS)
     return this._refuse('outcomeUnknown', outcome.kind === 'lost' ? outcome.reason : outcome.kind, false)
   }
 
   private _refusePreparation (refusal: JobRefusal): ResultName {
-    if (this._taken.answer.hasLeft) return 'cancelled'
-    if (this._abort.signal.aborted) return this._refuseLate()
+    if (this._accepted.answer.hasDisconnected) return 'cancelled'
+    if (this._abortController.signal.aborted) return this._refuseAborted()
     return this._refuse('overloaded', `preparation: ${refusal.reason}`, this._runCount === 0, refusal.retryAfterMs)
   }
 
   private _refuseWithoutUpstream (): ResultName {
-    if (this._abort.signal.aborted) return this._refuseLate()
-    const returnMs = this._choice.scheduleReturn()
+    if (this._abortController.signal.aborted) return this._refuseAborted()
+    const returnMs = this._selector.scheduleCallerRetry()
     if (returnMs !== undefined) return this._refuse('overloaded', `no upstream of ${this._role} accepts more now`, this._runCount === 0, returnMs)
-    return this._refuse('upstreamNoneLeft', `no upstream of ${this._role} takes work`, this._runCount === 0, RETRY_SOON_MS)
+    return this._refuse('upstreamNoneLeft', `no upstream of ${this._role} is available`, this._runCount === 0, DEFAULT_RETRY_MS)
   }
 
-  /** Time ran out, or this node ends: what was sent may still run. */
-  private _refuseLate (): ResultName {
-    if (this._isGivenUp) return this._refuse('gateDraining', 'this node is stopping', this._runCount === 0, ELSEWHERE_RETRY_MS)
-    return this._refuse('deadlinePassed', 'time ran out', this._sendCount === 0, 0)
+  /** The deadline has passed or this node is stopping; an attempt that was sent may still be running. */
+  private _refuseAborted (): ResultName {
+    if (this._isStopping) return this._refuse('gateDraining', 'this node is stopping', this._runCount === 0, OTHER_NODE_RETRY_MS)
+    return this._refuse('deadlinePassed', 'deadline exceeded', this._sendCount === 0, 0)
   }
 
   private _refuse (name: ResultName, message: string, isNotRun: boolean, retryAfterMs?: number): ResultName {
-    const { answer } = this._taken
-    if (answer.hasLeft) return 'cancelled'
-    if (answer.isBegun) {
-      answer.cut()
+    const { answer } = this._accepted
+    if (answer.hasDisconnected) return 'cancelled'
+    if (answer.hasBegun) {
+      answer.abort()
       return 'answerTorn'
     }
     const refusal: RelayRefusal = { error: new PepperwoodError({ name, message, place: this._role }), isNotRun, retryAfterMs }
-    this._context.refuse(answer, refusal, this._taken.request.id)
+    this._context.refuse(answer, refusal, this._accepted.request.id)
     return name
   }
 
-  private _noteOutcome (upstream: UpstreamEntry, outcome: AttemptOutcome, decision: AttemptDecision): void {
+  private _logAttempt (upstream: UpstreamEntry, outcome: AttemptOutcome, decision: AttemptDecision): void {
     if (outcome.kind === 'delivered') return
-    const { request } = this._taken
+    const { request } = this._accepted
     const reason = 'reason' in outcome ? outcome.reason : 'status' in outcome ? String(outcome.status) : ''
     this._context.log.warn('attempt_ended', {
       request: request.id,
@@ -367,7 +367,7 @@
       sends: this._sendCount,
       may_have_run: this._runCount,
       left_ms: Math.round(this._getTimeLeft()),
-      ...hasLostRun(outcome) ? { digest: this._suspect.getDigest() } : {}
+      ...isConnectionLost(outcome) ? { digest: this._fingerprint.getDigest() } : {}
     })
   }
 
--- a/src/services/relay/node/relayServer.ts
+++ b/src/services/relay/node/relayServer.ts
@@ -1,5 +1,5 @@
 /**
- * Takes callers' HTTP requests: finds the route and the customer, reads the body, and hands each to a run.
+ * HTTP server for callers: finds the route and the customer of each request, reads its body and runs it.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -11,7 +11,7 @@
 import { Emitter } from '../../../base/common/event.ts'
 import { hashSha256 } from '../../../base/node/digest.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
-import { ELSEWHERE_RETRY_MS } from '../common/relayProtocol.ts'
+import { OTHER_NODE_RETRY_MS } from '../common/relayProtocol.ts'
 import type { CallerProtocol, RelayRefusal } from '../common/relayProtocol.ts'
 import { getPath } from '../common/relayRequest.ts'
 import type { RelayRequest } from '../common/relayRequest.ts'
@@ -19,52 +19,52 @@
 import { CallerAnswer } from './callerAnswer.ts'
 import type { RelayContext } from './relayContext.ts'
 import { RelayRun } from './relayRun.ts'
-import type { RelayEnd } from './relayRun.ts'
-import type { TakenRequest } from './takenRequest.ts'
+import type { RelayOutcome } from './relayRun.ts'
+import type { AcceptedRequest } from './takenRequest.ts'
 
 export interface RelayServerOptions {
   readonly context: Omit<RelayContext, 'refuse'>
   readonly callerProtocol: CallerProtocol
-  /** Undefined until a configuration is known. */
+  /** Undefined until a configuration is available. */
   readonly getTable: () => RelayTable | undefined
-  /** Number and age of the configuration in force, for logs. */
+  /** Number and age of the active configuration, for logs. */
   readonly describeConfiguration: () => string
-  /** Why no request may be taken now. */
+  /** Returns why this node cannot accept requests now; undefined if it can. */
   readonly findObstacle: () => PepperwoodError | undefined
-  /** How long it may take until that is over, in milliseconds. */
+  /** Estimates how long the node will stay unable to accept requests, in milliseconds. */
   readonly estimateObstacleMs: () => number
 }
 
-/** A request that ended, for logs and metrics. */
+/** A completed request, for logs and metrics. */
 export interface EndedRequest {
   readonly id: string
   readonly route: string
   readonly customer: string
   readonly elapsedMs: number
-  readonly end: RelayEnd
+  readonly end: RelayOutcome
 }
 
-/** Callers whose keys do not fit are told so once the configuration is known; a start ends within this, as a rule. */
-const NOT_READY_RETRY_MS = 250
+/** Retry delay until a configuration, which is needed to check keys, is available; starting usually takes less time. */
+const STARTUP_RETRY_MS = 250
 const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
-/** The most that Node.js reads of a head; the configuration's limit lies below. */
+/** Limit of Node.js for the request head; the limit in the configuration is lower. */
 const MAX_HEADER_BYTES = 64 * 1024
 const DEFAULT_HEADER_TIMEOUT_MS = 10_000
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000
 const BODY_TIMEOUT_MS = 60_000
-const DIGESTS_KEPT = 1000
+const MAX_CACHED_DIGESTS = 1000
 
 export class RelayServer extends Disposable {
   private readonly _options: RelayServerOptions
   private readonly _context: RelayContext
   private readonly _server: Server
-  private readonly _digests = new Map<string, string>()
+  private readonly _keyDigests = new Map<string, string>()
   private readonly _onDidEnd = this._register(new Emitter<EndedRequest>())
   readonly onDidEnd = this._onDidEnd.event
-  private _openCount = 0
-  private _takenCount = 0
+  private _activeCount = 0
+  private _receivedCount = 0
   private _isDraining = false
-  private _isRefusing = false
+  private _isRefusingNew = false
   private readonly _runs = new Set<RelayRun>()
 
   constructor (options: RelayServerOptions) {
@@ -80,17 +80,17 @@
     this.applyLimits(undefined)
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get openCount (): number {
-    return this._openCount
+    return this._activeCount
   }
 
-  /** Requests taken since the start. */
-  get takenCount (): number {
-    return this._takenCount
+  /** Number of requests received since the process started, refused ones included. */
+  get receivedCount (): number {
+    return this._receivedCount
   }
 
-  /** Resolves with the port, which is a free one where 0 was asked for. */
+  /** Resolves with the port; port 0 selects a free one. */
   listen (host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this._server.once('error', reject)
@@ -103,22 +103,22 @@
     this._server.keepAliveTimeout = limits?.idleTimeoutMs || DEFAULT_IDLE_TIMEOUT_MS
   }
 
-  /** Connections end with the answer that they carry; requests that still come are served. */
+  /** Closes each connection after its next answer; new requests are still served. */
   drain (): void {
     this._isDraining = true
   }
 
-  /** Requests that still come are told to go elsewhere: they would not end before this node does. */
+  /** Refuses new requests, so that callers retry at another node: they would not complete before this node stops. */
   refuseNew (): void {
-    this._isRefusing = true
+    this._isRefusingNew = true
   }
 
-  /** Requests that were not sent yet are told to go elsewhere. */
+  /** Refuses requests that have not been sent to an upstream yet, so that callers retry at another node. */
   giveUpWaiting (): void {
-    for (const run of [...this._runs]) run.giveUpWaiting()
+    for (const run of [...this._runs]) run.refuseIfWaiting()
   }
 
-  /** No connection is accepted any more, and idle ones are closed. */
+  /** Stops accepting connections and closes idle ones. */
   close (): void {
     this._server.close()
     this._server.closeIdleConnections()
@@ -126,69 +126,69 @@
 
   private async _handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const answer = new CallerAnswer(request, response)
-    if (this._isDraining) answer.closeAfterwards()
-    this._openCount++
-    this._takenCount++
+    if (this._isDraining) answer.closeAfterAnswer()
+    this._activeCount++
+    this._receivedCount++
     try {
-      await this._take(request, answer)
+      await this._process(request, answer)
     } catch (thrown) {
       this._context.log.error('internal', { reason: String(thrown) })
-      answer.cut()
+      answer.abort()
     } finally {
-      this._openCount--
+      this._activeCount--
       answer.dispose()
     }
   }
 
-  private async _take (incoming: IncomingMessage, answer: CallerAnswer): Promise<void> {
+  private async _process (incoming: IncomingMessage, answer: CallerAnswer): Promise<void> {
     const arrivedAt = this._context.clock.now()
     const head = { method: incoming.method ?? 'GET', target: incoming.url ?? '/', headers: incoming.headers, rawHeaders: incoming.rawHeaders }
-    const taken = this._options.callerProtocol.readRequest(head)
+    const admission = this._options.callerProtocol.readRequest(head)
       .mapLeft(error => ({ error, isNotRun: false }))
       .chain(request => this._admit(request))
-    if (taken.isLeft()) return this._refuse(answer, taken.extract() as RelayRefusal, this._options.callerProtocol.findRequestId(head))
-    const admitted = taken.unsafeCoerce()
+    if (admission.isLeft()) return this._refuse(answer, admission.extract() as RelayRefusal, this._options.callerProtocol.findRequestId(head))
+    const admitted = admission.unsafeCoerce()
     const body = await this._readBody(incoming)
     if (body === undefined) {
-      if (!answer.hasLeft) this._refuse(answer, createRefusal('requestTooLarge', 'the body is too large or was cut off', false), admitted.request.id)
+      if (!answer.hasDisconnected) this._refuse(answer, createRefusal('requestTooLarge', 'the request body is too large or incomplete', false), admitted.request.id)
       return
     }
     const run = new RelayRun(this._context, { ...admitted, body, answer, arrivedAt })
     this._runs.add(run)
     try {
-      this._report(admitted, await run.run(), this._context.clock.now() - arrivedAt)
+      this._reportEnd(admitted, await run.run(), this._context.clock.now() - arrivedAt)
     } finally {
       this._runs.delete(run)
     }
   }
 
-  private _report (admitted: AdmittedRequest, end: RelayEnd, elapsedMs: number): void {
+  private _reportEnd (admitted: AdmittedRequest, end: RelayOutcome, elapsedMs: number): void {
     const { request, route, customer } = admitted
     this._onDidEnd.fire({ id: request.id, route: route.name, customer: customer ?? '', elapsedMs, end })
   }
 
   private _admit (request: RelayRequest): Either<RelayRefusal, AdmittedRequest> {
-    const obstacle = this._options.findObstacle()
+    const readinessError = this._options.findObstacle()
     const table = this._options.getTable()
-    if (this._isRefusing) return Left({ error: new PepperwoodError({ name: 'gateDraining', message: 'this node is stopping' }), isNotRun: true, retryAfterMs: ELSEWHERE_RETRY_MS })
-    if (obstacle !== undefined) return Left({ error: obstacle, isNotRun: true, retryAfterMs: this._options.estimateObstacleMs() })
+    if (this._isRefusingNew) return Left({ error: new PepperwoodError({ name: 'gateDraining', message: 'this node is stopping' }), isNotRun: true, retryAfterMs: OTHER_NODE_RETRY_MS })
+    if (readinessError !== undefined) return Left({ error: readinessError, isNotRun: true, retryAfterMs: this._options.estimateObstacleMs() })
     if (table === undefined) return Left(createRefusal('gateNotReady', 'no configuration is known yet', true))
     const route = table.findRoute(request.host, getPath(request.target))
     if (route === undefined) return Left(createRefusal('routeUnknown', 'no route has this host and path', false, request.host))
     const { regions } = this._context
-    if (route.isPublic || !table.needsKeys) return Right({ request, route, customer: undefined, priority: route.priority, homeHalls: regions?.listHomeHalls(route.homeRegions) })
+    if (route.isPublic || !table.requiresKeys) return Right({ request, route, customer: undefined, priority: route.priority, homeHalls: regions?.listHomeHalls(route.homeRegions) })
     const customer = request.key === undefined ? undefined : table.findCustomer(this._digestKey(request.key))
     if (customer === undefined) return Left(createRefusal('keyWrong', 'no customer has this key', false))
-    return Right({ request, route, customer: customer.name, priority: customer.priority * PRIORITY_STEP + route.priority, homeHalls: regions?.listHomeHalls(route.homeRegions, customer.homeRegions) })
+    return Right({ request, route, customer: customer.name, priority: customer.priority * CUSTOMER_PRIORITY_WEIGHT + route.priority, homeHalls: regions?.listHomeHalls(route.homeRegions, customer.homeRegions) })
   }
 
-  /** Keys come back with every request, so their digests are kept for a while. */
+  /** Returns the digest of a key; digests are cached, since callers send the same key with every request. */
   private _digestKey (key: string): string {
-    const known = this._digests.get(key)
-    if (known !== undefined) return known
-    if (this._digests.size >= DIGESTS_KEPT) this._digests.clear()
+    const cached = this._keyDigests.get(key)
+    if (cached !== undefined) return cached
+    if (this._keyDigests.size >= MAX_CACHED_DIGESTS) this._keyDigests.clear()
     const digest = hashSha256(key)
-    this._digests.set(key, digest)
+    this._keyDigests.set(key, digest)
     return digest
   }
 
@@ -226,11 +226,11 @@
   }
 }
 
-type AdmittedRequest = Pick<TakenRequest, 'request' | 'route' | 'customer' | 'priority' | 'homeHalls'>
+type AdmittedRequest = Pick<AcceptedRequest, 'request' | 'route' | 'customer' | 'priority' | 'homeHalls'>
 
-/** A customer's priority goes before that of any route. */
-const PRIORITY_STEP = 10
+/** Weight of a customer's priority, which takes precedence over a route's priority as long as that is lower than this. */
+const CUSTOMER_PRIORITY_WEIGHT = 10
 
 function createRefusal (name: 'gateNotReady' | 'routeUnknown' | 'keyWrong' | 'requestTooLarge', message: string, isNotRun: boolean, value = ''): RelayRefusal {
-  return { error: new PepperwoodError({ name, message, value }), isNotRun, retryAfterMs: isNotRun ? NOT_READY_RETRY_MS : undefined }
+  return { error: new PepperwoodError({ name, message, value }), isNotRun, retryAfterMs: isNotRun ? STARTUP_RETRY_MS : undefined }
 }
--- a/src/services/relay/node/requestInputs.ts
+++ b/src/services/relay/node/requestInputs.ts
@@ -1,5 +1,5 @@
 /**
- * What a request needs before an upstream can run it: has it made, tells the plan how it fared, and gives it back.
+ * Manages the prepared inputs of one request: has them prepared, reports attempts to the planner, and releases them.
  */
 import type { Either } from 'purify-ts'
 import type { IDisposable } from '../../../base/common/disposable.ts'
@@ -13,14 +13,14 @@
 
 export interface RequestInputsOptions {
   readonly context: RelayContext
-  /** Each ends preparation, whose results are then given back. */
+  /** Each of these aborts preparation, whose results are then released. */
   readonly signals: readonly AbortSignal[]
-  /** An upstream was lost while it made pieces for the request. */
-  readonly onDidLose: LostPiecesListener
+  /** Called when an upstream is lost while it computes pieces of the request. */
+  readonly onDidLosePieces: LostPiecesListener
 }
 
-/** A planner in another hall answers within a few milliseconds. */
-const MAX_TARGET_WAIT_MS = 60
+/** Time to wait for the planner's choice of a target; a planner in another hall normally answers within a few milliseconds. */
+const TARGET_TIMEOUT_MS = 60
 
 export class RequestInputs {
   private readonly _options: RequestInputsOptions
@@ -31,12 +31,12 @@
     this._options = options
   }
 
-  /** How long preparation took. */
+  /** Duration of the first preparation. */
   get preparedMs (): number {
     return this._preparedMs
   }
 
-  /** Whether there is anything that an upstream could miss. */
+  /** Whether inputs were prepared, which an upstream might report as missing. */
   get isPrepared (): boolean {
     return this._inputs !== undefined
   }
@@ -45,59 +45,59 @@
     return this._inputs?.handles ?? []
   }
 
-  /** The hall that most of the results are in; empty when there are none. */
+  /** The hall that holds most of the results; empty if there are none. */
   get hall (): string {
     return this._inputs?.hall ?? ''
   }
 
-  /** The upstream that should take the request; undefined when none was asked for. */
+  /** The upstream that the planner chose for the request; undefined if it was not queried. */
   get targetId (): string | undefined {
     return this._inputs?.targetId
   }
 
-  /** The results were given back, so a further attempt needs new ones. */
-  get isUsedUp (): boolean {
+  /** Whether the results were released, so that a further attempt needs new ones. */
+  get hasReleasedResults (): boolean {
     return this._inputs?.isReleased === true && this._inputs.handles.length > 0
   }
 
-  /** Undefined when the request can go on. */
+  /** Resolves with undefined if the request can proceed. For a job without pieces a refusal by the planner is ignored. */
   async prepare (job: PreparationJob): Promise<JobRefusal | undefined> {
-    const { context, signals, onDidLose } = this._options
+    const { context, signals, onDidLosePieces } = this._options
     const startedAt = context.clock.now()
-    const result = await (hasPieces(job) ? context.preparation.prepare(job, AbortSignal.any([...signals]), onDidLose) : this._askTarget(job))
+    const result = await (hasPieces(job) ? context.preparation.prepare(job, AbortSignal.any([...signals]), onDidLosePieces) : this._queryTarget(job))
     this._preparedMs = context.clock.now() - startedAt
-    const refusal = this._take(result)
+    const refusal = this._storeResult(result)
     return hasPieces(job) ? refusal : undefined
   }
 
-  /** Makes the results anew; undefined when the request can go on. */
+  /** Computes the results again; resolves with undefined if the request can proceed. */
   async prepareAgain (): Promise<JobRefusal | undefined> {
-    return this._inputs === undefined ? undefined : this._take(await this._inputs.prepareAgain())
+    return this._inputs === undefined ? undefined : this._storeResult(await this._inputs.prepareAgain())
   }
 
-  /** The copy was planned for the upstream that was chosen together with it. */
+  /** Returns the address to copy the prefix from. The copy is only valid for the upstream that was planned with it. */
   findPrefixSource (upstream: UpstreamEntry): string | undefined {
     const inputs = this._inputs
     if (inputs === undefined || inputs.targetId !== upstream.id || inputs.prefixSourceId === '') return undefined
     return this._options.context.registry.get(inputs.prefixSourceId)?.address
   }
 
-  /** Gives the results back once the upstream must have fetched them. */
+  /** Schedules the release of the results for when the upstream should have fetched them. */
   scheduleRelease (): IDisposable | undefined {
     const inputs = this._inputs
     const { clock, releaseDelay } = this._options.context
     return inputs === undefined ? undefined : clock.schedule(releaseDelay.compute(inputs.bytes), () => inputs.release())
   }
 
-  /** Takes in whether an upstream that was sent the request had what it needs. */
-  noteOutcome (outcome: AttemptOutcome): void {
+  /** Adjusts the release delay by whether the upstream still found the results. */
+  recordOutcome (outcome: AttemptOutcome): void {
     const { releaseDelay } = this._options.context
     if (this._inputs === undefined) return
     if (outcome.kind === 'notRun' && outcome.reason === 'inputMissing') releaseDelay.noteMissing()
     else if (outcome.kind === 'delivered') releaseDelay.noteTaken()
   }
 
-  /** Tells the plan how the request fares at the upstream, if that was the plan's choice. */
+  /** Reports the state of the request to the planner, if the upstream is the one that it chose. */
   report (upstream: UpstreamEntry, report: TargetReport): void {
     if (this._inputs?.targetId === upstream.id) this._inputs.report(report)
   }
@@ -106,25 +106,25 @@
     this._inputs?.release()
   }
 
-  /** The request is over. */
+  /** Called when the request has completed: releases the results, and reports the target as unused if nothing was reported. */
   end (): void {
     this._inputs?.release()
     this._inputs?.report({ outcome: 'unused', producedMs: 0 })
   }
 
-  /** The request can run anywhere, so it does not wait for a planner that is lost. */
-  private async _askTarget (job: PreparationJob): Promise<Either<JobRefusal, IPreparedInputs>> {
+  /** Queries the planner for a target, with a short timeout, since the request can run at any upstream. */
+  private async _queryTarget (job: PreparationJob): Promise<Either<JobRefusal, IPreparedInputs>> {
     const { context, signals } = this._options
-    const asking = new AbortController()
-    const timer = context.clock.schedule(MAX_TARGET_WAIT_MS, () => asking.abort())
+    const abortController = new AbortController()
+    const timer = context.clock.schedule(TARGET_TIMEOUT_MS, () => abortController.abort())
     try {
-      return await context.preparation.prepare(job, AbortSignal.any([asking.signal, ...signals]))
+      return await context.preparation.prepare(job, AbortSignal.any([abortController.signal, ...signals]))
     } finally {
       timer.dispose()
     }
   }
 
-  private _take (result: Either<JobRefusal, IPreparedInputs>): JobRefusal | undefined {
+  private _storeResult (result: Either<JobRefusal, IPreparedInputs>): JobRefusal | undefined {
     return result.caseOf<JobRefusal | undefined>({
       Left: refusal => refusal,
       Right: inputs => { this._inputs = inputs; return undefined }
--- a/src/services/relay/node/requestSuspect.ts
+++ b/src/services/relay/node/requestSuspect.ts
@@ -1,12 +1,11 @@
 /**
- * A request as the quarantine sees it: its digest is made when it is first asked for, and what is held against it is
- * looked up before each send.
+ * Identity of a request for the quarantine. The digest is computed on first use, since most requests never need it.
  */
 import { digestRequest } from '../../quarantine/node/requestDigest.ts'
 import type { RequestIdentity } from '../../quarantine/node/requestDigest.ts'
 import type { ISuspect } from '../../quarantine/common/quarantine.ts'
 
-export class RequestSuspect implements ISuspect {
+export class RequestFingerprint implements ISuspect {
   readonly bodyBytes: number
   private _digest: string | undefined
 
--- a/src/services/relay/node/takenRequest.ts
+++ b/src/services/relay/node/takenRequest.ts
@@ -1,20 +1,20 @@
 /**
- * A caller's request with all that was found out when it was taken in.
+ * A caller's request with the route, customer and limits that were determined when it was accepted.
  */
 import type { Route } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { RelayRequest } from '../common/relayRequest.ts'
 import type { CallerAnswer } from './callerAnswer.ts'
 
-export interface TakenRequest {
+export interface AcceptedRequest {
   readonly request: RelayRequest
   readonly route: Route
   readonly customer: string | undefined
-  /** 0 goes first. */
+  /** Lower values are more urgent; 0 is the highest priority. */
   readonly priority: number
-  /** The only halls whose upstreams may get it; undefined for all. */
+  /** The only halls whose upstreams may run the request; undefined for all. */
   readonly homeHalls?: readonly string[] | undefined
   readonly body: Buffer
   readonly answer: CallerAnswer
-  /** On the process's clock. */
+  /** On the process's clock, in milliseconds. */
   readonly arrivedAt: number
 }
--- a/src/services/relay/node/upstreamChoice.ts
+++ b/src/services/relay/node/upstreamChoice.ts
@@ -1,47 +1,46 @@
 /**
- * Finds an upstream that a request may be sent to now.
+ * Selects an upstream for a request and acquires quota there.
  */
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { RelayContext } from './relayContext.ts'
 import type { RequestInputs } from './requestInputs.ts'
-import type { TakenRequest } from './takenRequest.ts'
+import type { AcceptedRequest } from './takenRequest.ts'
 
-export interface UpstreamChoiceOptions {
+export interface UpstreamSelectorOptions {
   readonly context: RelayContext
-  readonly taken: TakenRequest
+  readonly accepted: AcceptedRequest
   readonly role: string
   readonly inputs: RequestInputs
-  /** Upstreams that the request was sent to already. */
+  /** Upstreams that the request was already sent to. */
   readonly tried: ReadonlySet<string>
   readonly signal: AbortSignal
 }
 
-/** What is known of a request when its upstream is chosen. */
-export interface ChoiceTerms {
-  /** What the tries of the request have in common, where upstreams have ended under them. */
+export interface SelectionConstraints {
+  /** The request's digest if upstreams have crashed while they ran it, otherwise undefined. */
   readonly suspectKey: string | undefined
   readonly timeLeftMs: number
 }
 
-/** Upstreams that are asked for one request in turn. */
-const MAX_ASKED = 5
-/** What was prepared is worth a short wait. */
-const MAX_WAIT_MS = 1000
+/** Upstreams whose quota is requested for one request before it is refused. */
+const MAX_QUOTA_QUERIES = 5
+/** A request with prepared results waits up to this long for an upstream; others are refused at once. */
+const MAX_PREPARED_WAIT_MS = 1000
 const MIN_WAIT_MS = 10
 
-export class UpstreamChoice {
-  private readonly _options: UpstreamChoiceOptions
+export class UpstreamSelector {
+  private readonly _options: UpstreamSelectorOptions
 
-  constructor (options: UpstreamChoiceOptions) {
+  constructor (options: UpstreamSelectorOptions) {
     this._options = options
   }
 
-  /** Undefined where none accepts the request now. */
-  async acquire (terms: ChoiceTerms): Promise<UpstreamEntry | undefined> {
+  /** Returns undefined if no upstream accepts the request now. */
+  async acquire (constraints: SelectionConstraints): Promise<UpstreamEntry | undefined> {
     const { context: { clock }, inputs, signal } = this._options
-    const waitUntil = clock.now() + (inputs.handles.length > 0 ? Math.min(MAX_WAIT_MS, terms.timeLeftMs) : 0)
+    const waitUntil = clock.now() + (inputs.handles.length > 0 ? Math.min(MAX_PREPARED_WAIT_MS, constraints.timeLeftMs) : 0)
     for (;;) {
-      const upstream = await this._askInTurn(terms)
+      const upstream = await this._acquireNow(constraints)
       if (upstream !== undefined || signal.aborted) return upstream
       const waitMs = Math.max(MIN_WAIT_MS, this._computeWaitMs())
       if (clock.now() + waitMs >= waitUntil) return undefined
@@ -49,62 +48,62 @@
     }
   }
 
-  /** All upstreams that the request might go to, whatever they accept now. */
-  listUsable (): readonly UpstreamEntry[] {
-    const { context, role, taken } = this._options
-    return context.pool.listUsable(role, taken.homeHalls)
+  /** All upstreams that may serve the request, those at their limits or in backoff included. */
+  listEligible (): readonly UpstreamEntry[] {
+    const { context, role, accepted } = this._options
+    return context.pool.listEligible(role, accepted.homeHalls)
   }
 
-  /** Upstreams of the role that want nothing from this node now. */
+  /** Upstreams that asked this node to back off and whose backoff has not expired. */
   listBackingOff (): readonly UpstreamEntry[] {
     const { backoffs } = this._options.context
-    return backoffs.isEmpty ? [] : this.listUsable().filter(({ id }) => backoffs.getWaitMs(id) > 0)
+    return backoffs.isEmpty ? [] : this.listEligible().filter(({ id }) => backoffs.getWaitMs(id) > 0)
   }
 
-  /** Whether what is made for the request could be sent to anybody by the time it is there. */
-  mayPrepare (timeLeftMs: number): boolean {
+  /** Whether an upstream is expected to accept the request by the time its results are prepared. */
+  canPrepare (timeLeftMs: number): boolean {
     const { backoffs } = this._options.context
-    return this.listUsable().some(({ id }) => backoffs.getWaitMs(id) <= Math.min(MAX_WAIT_MS, timeLeftMs))
+    return this.listEligible().some(({ id }) => backoffs.getWaitMs(id) <= Math.min(MAX_PREPARED_WAIT_MS, timeLeftMs))
   }
 
-  /** When the caller of a request that none accepts now should return; undefined where no upstream says so. */
-  scheduleReturn (): number | undefined {
+  /** Retry delay in milliseconds for the caller of a refused request; undefined if no upstream has a limit or backoff. */
+  scheduleCallerRetry (): number | undefined {
     const { context: { backoffs, quota }, role } = this._options
     const backingOff = this.listBackingOff()
-    const limited = this.listUsable().filter(entry => !backingOff.includes(entry) && quota.isLimited(entry))
-    const times = [
+    const limited = this.listEligible().filter(entry => !backingOff.includes(entry) && quota.isLimited(entry))
+    const waitTimesMs = [
       ...backingOff.length > 0 ? [backoffs.scheduleReturn(role, backingOff)] : [],
       ...limited.length > 0 ? [quota.scheduleReturn(role, limited)] : []
     ]
-    return times.length === 0 ? undefined : Math.min(...times)
+    return waitTimesMs.length === 0 ? undefined : Math.min(...waitTimesMs)
   }
 
-  /** Until one of the upstreams accepts more by its own word; Infinity where none says so. */
+  /** Time in milliseconds until a limit or backoff of an upstream allows a request; Infinity if none is limited. */
   private _computeWaitMs (): number {
     const { backoffs, quota } = this._options.context
-    const waits = this.listUsable().map(entry => {
+    const waitTimesMs = this.listEligible().map(entry => {
       const backoffMs = backoffs.getWaitMs(entry.id)
       return backoffMs === 0 && !quota.isLimited(entry) ? Infinity : Math.max(backoffMs, quota.getWaitMs(entry))
     })
-    return Math.min(Infinity, ...waits)
+    return Math.min(Infinity, ...waitTimesMs)
   }
 
-  private async _askInTurn (terms: ChoiceTerms): Promise<UpstreamEntry | undefined> {
-    const { context: { quota }, taken } = this._options
-    const denied = new Set<string>()
-    while (denied.size < MAX_ASKED) {
-      const upstream = this._choose(terms, denied)
-      if (upstream === undefined || await quota.acquire(upstream, taken.request.id)) return upstream
-      denied.add(upstream.id)
+  private async _acquireNow (constraints: SelectionConstraints): Promise<UpstreamEntry | undefined> {
+    const { context: { quota }, accepted } = this._options
+    const excluded = new Set<string>()
+    while (excluded.size < MAX_QUOTA_QUERIES) {
+      const upstream = this._choose(constraints, excluded)
+      if (upstream === undefined || await quota.acquire(upstream, accepted.request.id)) return upstream
+      excluded.add(upstream.id)
     }
     return undefined
   }
 
-  private _choose ({ suspectKey }: ChoiceTerms, denied: ReadonlySet<string>): UpstreamEntry | undefined {
-    const { context: { pool, hall }, role, tried, inputs, taken: { homeHalls, request } } = this._options
-    if (suspectKey !== undefined) return pool.chooseApart({ role, tried, key: suspectKey, homeHalls, denied })
+  private _choose ({ suspectKey }: SelectionConstraints, excluded: ReadonlySet<string>): UpstreamEntry | undefined {
+    const { context: { pool, hall }, role, tried, inputs, accepted: { homeHalls, request } } = this._options
+    if (suspectKey !== undefined) return pool.chooseForSuspect({ role, tried, key: suspectKey, homeHalls, excluded })
     const { targetId } = inputs
-    const planned = targetId === undefined || denied.has(targetId) ? undefined : pool.confirm(targetId, tried, homeHalls)
-    return planned ?? pool.choose({ role, prompt: request.prompt, hall: inputs.hall || hall, tried, homeHalls, denied })
+    const planned = targetId === undefined || excluded.has(targetId) ? undefined : pool.confirm(targetId, tried, homeHalls)
+    return planned ?? pool.choose({ role, prompt: request.prompt, hall: inputs.hall || hall, tried, homeHalls, excluded })
   }
 }
--- a/src/services/relay/test/coldUpstreams.test.ts
+++ b/src/services/relay/test/coldUpstreams.test.ts
@@ -1,4 +1,5 @@
-// Cold upstreams collapse under more than a few requests a second, and 200 nodes sent one of them 400.
+// Guards against overload of cold upstreams, which fail above a few requests per second: 200 nodes that chose
+// independently sent 400 requests to one of them.
 import fc from 'fast-check'
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -14,7 +15,7 @@
 
 const test = suite('coldUpstreams')
 
-/** Of all nodes together, in one second, at one cold upstream. */
+/** Maximum number of requests from all nodes to one cold upstream within a second. */
 const BOUND = 18
 const SEED = 20261203
 const COLD_COUNT = 30
@@ -30,11 +31,11 @@
   return registry
 }
 
-/** What is sent within this time may arrive within a second. */
+/** Requests that are sent within this time may arrive within one second. */
 const WINDOW_MS = 1400
 const STEP_MS = 10
 
-/** Limits as they are known to the owner of a quota that reaches so many of all nodes. */
+/** Limits as a quota owner sees them that can reach `liveCount` of `nodeCount` nodes. */
 function createLimits (clock: VirtualClock, nodeCount: number, liveCount = nodeCount): ColdLimits {
   return new ColdLimits({ clock, getBound: () => BOUND, countKnown: () => nodeCount, countLive: () => liveCount })
 }
@@ -43,7 +44,7 @@
   return new QuotaOwner({ clock, limits, isOwner: () => true, settleMs: 0 })
 }
 
-test('nodes that choose for themselves keep the bound together, and serve every request', () => {
+test('nodes that choose upstreams independently keep the bound in total, and serve every request', () => {
   const clock = new VirtualClock()
   const owner = createOwner(clock, createLimits(clock, 200))
   const counts = new Map<string, number>()
@@ -51,11 +52,11 @@
   for (let node = 0; node < 200; node++) {
     const pool = new RelayPool({ clock, registry: createRegistry(), router: new AffinityRouter({ random: new SeededRandom(node) }), createHealth: () => new TrustingTracker(), countNodes: () => 200, hasEnded: () => false })
     for (let count = 0; count < 2; count++) {
-      const denied = new Set<string>()
-      let upstream = pool.choose({ role: 'model', prompt: PROMPT, hall: 'x', tried: new Set(), denied })
+      const excluded = new Set<string>()
+      let upstream = pool.choose({ role: 'model', prompt: PROMPT, hall: 'x', tried: new Set(), excluded })
       while (upstream !== undefined && !owner.acquire(upstream).isGranted) {
-        denied.add(upstream.id)
-        upstream = pool.choose({ role: 'model', prompt: PROMPT, hall: 'x', tried: new Set(), denied })
+        excluded.add(upstream.id)
+        upstream = pool.choose({ role: 'model', prompt: PROMPT, hall: 'x', tried: new Set(), excluded })
       }
       if (upstream === undefined) refused++
       else counts.set(upstream.id, (counts.get(upstream.id) ?? 0) + 1)
@@ -65,7 +66,7 @@
   for (const [id, count] of counts) if (id !== 'u0') assert.ok(count <= BOUND, `${count} at ${id}`)
 })
 
-/** The most that an owner gives out within the window, from any moment on. */
+/** Returns the maximum number of grants by one owner within any window. */
 function countGrants (sizes: { readonly nodeCount: number, readonly liveCount?: number }, id: string): number {
   const clock = new VirtualClock()
   const entry = createRegistry().get(id)
@@ -79,7 +80,7 @@
   return Math.max(0, ...grantedAt.map((from, index) => grantedAt.slice(index).filter(at => at - from < WINDOW_MS).length))
 }
 
-test('parts of a fleet that cannot reach each other keep the bound together, also while two owners overlap in each', () => {
+test('network partitions keep the bound in total, also while each has two owners for a while', () => {
   const parts = fc.array(fc.integer({ min: 1, max: 120 }), { minLength: 1, maxLength: 12 })
   fc.assert(fc.property(parts, fc.integer({ min: 1, max: COLD_COUNT }), (sizes, index) => {
     const nodeCount = sizes.reduce((sum, size) => sum + size, 0)
@@ -88,7 +89,7 @@
   }), { seed: SEED, numRuns: 40 })
 })
 
-test('a cold upstream is asked for something, and is no longer bounded once it is warm', () => {
+test('a cold upstream gets some requests, and is no longer limited once it is warm', () => {
   const clock = new VirtualClock()
   const limits = createLimits(clock, 89)
   const [cold, warm] = ['u1', 'u0'].map(id => createRegistry().get(id))
@@ -99,7 +100,7 @@
   assert.is(limits.find(cold), undefined)
 })
 
-test('a plan grants a limited upstream something again at its rate', () => {
+test('a planner assigns requests to a limited upstream at its rate', () => {
   const planner = new TargetPlanner()
   const shape = { role: 'model', shared: [], inputTokens: 1000 }
   const question = { shape, candidates: [{ id: 'u', hall: 'x', msPerMovedToken: Infinity, limit: { perS: 0.5, burst: 1 } }], bytesByHall: new Map(), waitByHall: new Map() }
--- a/src/services/relay/test/crashingPreparation.test.ts
+++ b/src/services/relay/test/crashingPreparation.test.ts
@@ -1,8 +1,8 @@
-// A request whose pieces of preparation end the upstream that makes them ended five upstreams within one try, and five
-// more with each try after it: pieces that fail are made again up to a bound that is kept for each job, and neither the
-// plan nor the node that owns the request told anybody. The logs showed `event=piece_call_failed outcome=lost` five
-// times and `event=preparation_refused reason=interrupted retry_after_ms=300`, after which the caller came back as a new
-// request. Pieces of other requests that were made in the same calls failed with them, time after time.
+// Guards against a request whose preparation pieces crash the upstreams that compute them. Failed pieces are retried up
+// to a limit per job, so each try of the caller crashed five upstreams; neither the planner nor the node that owns the
+// request reported the crashes, and the caller's next try was treated as a new request. The log showed
+// `event=piece_call_failed outcome=lost` five times and `event=preparation_refused reason=interrupted
+// retry_after_ms=300`. Pieces of other requests that were batched into the same calls failed repeatedly as well.
 import { create } from '@bufbuild/protobuf'
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -25,17 +25,17 @@
 const test = suite('crashingPreparation')
 
 const CRASHING = 'crash'
-const UPSTREAMS = 6
+const UPSTREAM_COUNT = 6
 const TRIES = 8
-const BESIDE = 4
-/** What one request may end before it is no longer sent. */
+const CONCURRENT_REQUESTS = 4
+/** Number of upstreams that a request may crash before it is quarantined. */
 const MAX_CRASHES = 3
-const MAKE_MS = 20
-/** The list of upstreams tells of an end so much later. */
-const LIST_MS = 100
+const PIECE_MS = 20
+/** Delay until a crashed upstream is removed from the list. */
+const LIST_DELAY_MS = 100
 const TIMEOUT_MS = 3000
 
-/** Upstreams that make pieces, and end with all that they are making when a certain request's are among them. */
+/** Upstreams that compute pieces, and crash if a piece of a certain request is among them. */
 class CrashingPieces extends PieceProtocol {
   readonly crashes: string[] = []
   private readonly _upstreams = new Map<string, FakeUpstream>()
@@ -52,7 +52,7 @@
   }
 
   async runPieces ({ id }: UpstreamEntry, pieces: readonly PlannedPiece[]): Promise<PieceCallOutcome> {
-    await new Promise(resolve => { setTimeout(resolve, MAKE_MS) })
+    await new Promise(resolve => { setTimeout(resolve, PIECE_MS) })
     if (pieces.some(piece => piece.jobId.startsWith(CRASHING))) this._endUpstream(id)
     if (this.crashes.includes(id)) return { kind: 'lost', reason: 'the answer was cut off' }
     return { kind: 'answered', pieces: pieces.map(piece => ({ kind: 'made', handle: `${piece.jobId}/${piece.stage}.${piece.index}` })) }
@@ -69,13 +69,13 @@
   private _endUpstream (id: string): void {
     if (this.crashes.includes(id)) return
     this.crashes.push(id)
-    this._upstreams.get(id)?.end()
+    this._upstreams.get(id)?.stop()
     void this.addUpstream()
-    setTimeout(() => this._harness.registry.drop(id, 'test'), LIST_MS)
+    setTimeout(() => this._harness.registry.drop(id, 'test'), LIST_DELAY_MS)
   }
 }
 
-/** A node with requests that need preparation, planned by itself or by another node. */
+/** A node with requests that need preparation, which is planned by the node itself or by another one. */
 class PreparingNode extends Disposable {
   readonly harness: RelayHarness
   readonly pieces: CrashingPieces
@@ -102,7 +102,7 @@
 
   async start (isPlannedHere: boolean): Promise<void> {
     await this.harness.start()
-    for (let index = 0; index < UPSTREAMS; index++) await this.pieces.addUpstream()
+    for (let index = 0; index < UPSTREAM_COUNT; index++) await this.pieces.addUpstream()
     const [near, far] = [this._createCoordinator(), this._createCoordinator()]
     const server = this._register(new PreparationServer(far, this._log))
     const address = '127.0.0.1:1'
@@ -127,7 +127,7 @@
   }
 }
 
-/** Once with the plan at the request's own node, and once at another. */
+/** Runs a test twice: with the planner at the request's own node, and at another node. */
 async function runNodes (run: (node: PreparingNode) => Promise<void>): Promise<void> {
   for (const isPlannedHere of [true, false]) {
     const node = new PreparingNode()
@@ -140,18 +140,18 @@
   }
 }
 
-test('a request whose preparation ended three upstreams reaches no fourth', () => runNodes(async ({ harness, pieces }) => {
+test('a request whose preparation crashed three upstreams does not reach a fourth', () => runNodes(async ({ harness, pieces }) => {
   const answers: string[] = []
   for (let index = 0; index < TRIES; index++) answers.push((await harness.submit(`${CRASHING}${index}`, CRASHING, 'Pieces: 3\r\n')).text)
   assert.is(pieces.crashes.length, MAX_CRASHES)
   assert.match(answers.at(-1) ?? '', /^HTTP\/1\.1 503 .*requestQuarantined$/s)
 }))
 
-test('requests whose pieces are made beside those of such a request are served', () => runNodes(async ({ harness }) => {
+test('requests whose pieces are computed in the same calls as those of such a request are served', () => runNodes(async ({ harness }) => {
   for (let index = 0; index < TRIES; index++) {
-    const beside = Array.from({ length: BESIDE }, (_item, number) => harness.submit(`beside${index}-${number}`, `text ${number}`, 'Pieces: 1\r\n'))
+    const concurrent = Array.from({ length: CONCURRENT_REQUESTS }, (_item, number) => harness.submit(`beside${index}-${number}`, `text ${number}`, 'Pieces: 1\r\n'))
     await harness.submit(`${CRASHING}${index}`, CRASHING, 'Pieces: 1\r\n')
-    for (const { text } of await Promise.all(beside)) assert.match(text, /^HTTP\/1\.1 200 /)
+    for (const { text } of await Promise.all(concurrent)) assert.match(text, /^HTTP\/1\.1 200 /)
   }
 }))
 
--- a/src/services/relay/test/crashingRequest.test.ts
+++ b/src/services/relay/test/crashingRequest.test.ts
@@ -1,8 +1,7 @@
-// A request ended each upstream that began to run it, 14 of them in one minute. No try reached two upstreams, so the
-// bound on attempts never bit: the caller came back within half a second with a new id, at any node, and every node took
-// the try for a new request. The logs showed one line such as `event=attempt_ended outcome=lost reason="stream broke
-// off" next=refuse sends=1 may_have_run=1` at each end, and no two of them had anything in common by which a later try
-// could have been told from a new request.
+// Guards against a request that crashes each upstream that runs it, 14 of them in one minute. Each try reached only one
+// upstream, so the limit on attempts had no effect: the caller retried within half a second, with a new id and at any
+// node, and the nodes treated each try as a new request. Each crash was logged as `event=attempt_ended outcome=lost
+// next=refuse sends=1 may_have_run=1`, with nothing that identified the tries as the same request.
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -12,15 +11,15 @@
 const test = suite('crashingRequest')
 
 const CRASHING = 'crash'
-const UPSTREAMS = 6
+const UPSTREAM_COUNT = 6
 const TRIES = 20
-/** What one request may end before it is no longer sent. */
+/** Number of upstreams that a request may crash before it is quarantined. */
 const MAX_CRASHES = 3
 const RUN_MS = 30
 const EVENT = 'id: 1\ndata: x\n\n'
 const CRASH_MS = 10
 
-/** Upstreams that a body ends, and new boots that take their place. */
+/** Upstreams that crash on a certain request body, each of which is replaced by a new instance. */
 class CrashingFleet {
   readonly crashes: string[] = []
   readonly harness: RelayHarness
@@ -31,25 +30,25 @@
 
   async start (): Promise<void> {
     await this.harness.start()
-    for (let index = 0; index < UPSTREAMS; index++) await this._addUpstream()
+    for (let index = 0; index < UPSTREAM_COUNT; index++) await this._addUpstream()
   }
 
   private async _addUpstream (): Promise<void> {
     const upstream: FakeUpstream = new FakeUpstream((socket, head) => {
       const id = /^Id: (.+)\r$/m.exec(head)?.[1]
-      if (head.endsWith(CRASHING)) setTimeout(() => this._endUpstream(upstream, boot), CRASH_MS)
+      if (head.endsWith(CRASHING)) setTimeout(() => this._endUpstream(upstream, upstreamId), CRASH_MS)
       else setTimeout(() => { if (!socket.destroyed) socket.write(`HTTP/1.1 200 OK\r\nId: ${id}\r\nContent-Length: ${EVENT.length}\r\n\r\n${EVENT}`) }, RUN_MS)
     })
-    const boot = await this.harness.addUpstream(upstream)
+    const upstreamId = await this.harness.addUpstream(upstream)
   }
 
-  private _endUpstream (upstream: FakeUpstream, boot: string): void {
-    if (this.crashes.includes(boot)) return
-    this.crashes.push(boot)
-    upstream.end()
+  private _endUpstream (upstream: FakeUpstream, upstreamId: string): void {
+    if (this.crashes.includes(upstreamId)) return
+    this.crashes.push(upstreamId)
+    upstream.stop()
     void this._addUpstream()
-    // The list of upstreams tells of the end later.
-    setTimeout(() => this.harness.registry.drop(boot, 'test'), RUN_MS * 5)
+    // The list of upstreams is updated with a delay.
+    setTimeout(() => this.harness.registry.drop(upstreamId, 'test'), RUN_MS * 5)
   }
 }
 
@@ -63,22 +62,22 @@
   }
 }
 
-test('a request that ended three upstreams reaches no fourth, and those beside it are never refused for it', () => runFleet({ kind: RouteKind.STREAM, maxAttempts: 1 }, async ({ harness, crashes }) => {
+test('a request that crashed three upstreams does not reach a fourth, and concurrent requests are not quarantined', () => runFleet({ kind: RouteKind.STREAM, maxAttempts: 1 }, async ({ harness, crashes }) => {
   const refused: string[] = []
-  const beside: string[] = []
+  const concurrent: string[] = []
   for (let index = 0; index < TRIES; index++) {
     const others = Array.from({ length: 4 }, (_item, number) => harness.submit(`beside${index}-${number}`, `text ${number}`))
     refused.push((await harness.submit(`try${index}`, CRASHING)).text)
-    for (const { text } of await Promise.all(others)) beside.push(text)
+    for (const { text } of await Promise.all(others)) concurrent.push(text)
   }
   assert.is(crashes.length, MAX_CRASHES)
   assert.match(refused.at(-1) ?? '', /^HTTP\/1\.1 503 .*requestQuarantined$/s)
-  assert.is(beside.filter(text => text.includes('requestQuarantined')).length, 0)
-  // Once it is no longer sent, all of them are served.
-  assert.ok(beside.slice(TRIES * 2).every(text => text.startsWith('HTTP/1.1 200')))
+  assert.is(concurrent.filter(text => text.includes('requestQuarantined')).length, 0)
+  // All of them are served once the crashing request is quarantined.
+  assert.ok(concurrent.slice(TRIES * 2).every(text => text.startsWith('HTTP/1.1 200')))
 }))
 
-test('a try that may go to many upstreams ends two of them, and the next one a third', () => runFleet({ kind: RouteKind.REPEATABLE, maxAttempts: 5 }, async ({ harness, crashes }) => {
+test('a try with many allowed attempts crashes two upstreams, and the next try a third', () => runFleet({ kind: RouteKind.REPEATABLE, maxAttempts: 5 }, async ({ harness, crashes }) => {
   const counts: number[] = []
   for (let index = 0; index < 4; index++) {
     await harness.submit(`try${index}`, CRASHING)
@@ -87,15 +86,15 @@
   assert.equal(counts, [2, 3, 3, 3])
 }))
 
-test('one end is counted once: an upstream that fails after it leaves a further one to answer', async () => {
-  const ending = new FakeUpstream(() => ending.end())
+test('one crash is counted once: after a failure at a second upstream the request still goes to a third', async () => {
+  const crashing = new FakeUpstream(() => crashing.stop())
   const answers = ['500 Failed', '200 OK']
   const others = [0, 1].map(() => new FakeUpstream(socket => { socket.write(`HTTP/1.1 ${answers.shift()}\r\nId: a\r\nContent-Length: 4\r\n\r\nbody`) }))
-  const harness = new RelayHarness({ upstreams: [ending, ...others], route: { kind: RouteKind.REPEATABLE, maxAttempts: 3 } })
+  const harness = new RelayHarness({ upstreams: [crashing, ...others], route: { kind: RouteKind.REPEATABLE, maxAttempts: 3 } })
   try {
     await harness.start()
     assert.match((await harness.submit('a', 'text')).text, /^HTTP\/1\.1 200 /)
-    assert.is(ending.heads.length, 1)
+    assert.is(crashing.requestHeads.length, 1)
   } finally {
     harness.dispose()
   }
--- a/src/services/relay/test/darkUpstream.test.ts
+++ b/src/services/relay/test/darkUpstream.test.ts
@@ -1,7 +1,7 @@
 /**
- * An upstream that lost power accepts no connection, and its entry stays for some seconds more. Nodes found that out one
- * by one, and the plan that chooses for all of them was never told: it went on choosing the dark upstream, and each
- * request spent 400 ms there before it went elsewhere.
+ * Guards against a planner that keeps choosing an upstream that lost power. Such an upstream accepts no connection, but
+ * its entry stays listed for some seconds. Each node detected this separately and did not report it to the planner, so
+ * each request spent the connect timeout of 400 ms there before it went to another upstream.
  */
 import { Right } from 'purify-ts'
 import { suite } from 'uvu'
@@ -12,9 +12,9 @@
 
 const test = suite('darkUpstream')
 
-const WHOLE = 'HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 4\r\n\r\nbody'
+const COMPLETE_ANSWER = 'HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 4\r\n\r\nbody'
 
-/** A plan that chooses one upstream, and hears how requests fared there. */
+/** A planner that always chooses the same upstream, and records the reports about requests there. */
 class FixedTarget implements IPreparationService {
   readonly reports: TargetReport[] = []
 
@@ -35,15 +35,15 @@
   }
 }
 
-test('the plan is told of an upstream that accepts no connection, and the request goes elsewhere', async () => {
-  const [dark, other] = [new FakeUpstream(answerWith(WHOLE)), new FakeUpstream(answerWith(WHOLE))]
+test('an upstream that accepts no connection is reported to the planner, and the request goes to another upstream', async () => {
+  const [unreachable, other] = [new FakeUpstream(answerWith(COMPLETE_ANSWER)), new FakeUpstream(answerWith(COMPLETE_ANSWER))]
   const preparation = new FixedTarget('u0')
-  const harness = new RelayHarness({ upstreams: [dark, other], preparation, route: { stages: [{ role: 'p', after: [], resultBytes: 1 }] } })
+  const harness = new RelayHarness({ upstreams: [unreachable, other], preparation, route: { stages: [{ role: 'p', after: [], resultBytes: 1 }] } })
   try {
     await harness.start()
-    dark.end()
+    unreachable.stop()
     assert.match((await harness.call('a', 'Pieces: 1\r\n')).text, /^HTTP\/1\.1 200 .*body$/s)
-    assert.is(other.heads.length, 1)
+    assert.is(other.requestHeads.length, 1)
     assert.equal(preparation.reports.map(({ outcome }) => outcome)[0], 'failed')
   } finally {
     harness.dispose()
--- a/src/services/relay/test/fakes.ts
+++ b/src/services/relay/test/fakes.ts
@@ -1,5 +1,5 @@
 /**
- * A relay between raw sockets: upstreams that answer with given bytes, and callers that see every byte.
+ * Test harness: a relay with upstreams that answer with given bytes and callers that record every byte they receive.
  */
 import { Agent } from 'node:http'
 import { connect, createServer } from 'node:net'
@@ -39,7 +39,7 @@
 import { RelayServer } from '../node/relayServer.ts'
 import type { EndedRequest } from '../node/relayServer.ts'
 
-/** Requests carry an id and a time; the rest is plain HTTP. */
+/** Requests have the headers id and, optionally, key, time and pieces; the rest is plain HTTP. */
 class FakeCallerProtocol extends CallerProtocol {
   readRequest ({ method, target, headers }: MessageHead): Either<PepperwoodError, RelayRequest> {
     const id = headers.id
@@ -67,7 +67,7 @@
   }
 }
 
-/** An answer must repeat the id; `unrun` says that nothing ran. */
+/** An answer must repeat the id; the header `unrun` states that the request was not run. */
 class FakeUpstreamProtocol extends UpstreamProtocol {
   createHeaders ({ request, upstream, inputs, lastEventId, bodyBytes }: RelayCall): readonly HeaderField[] {
     return [
@@ -95,32 +95,32 @@
   }
 }
 
-/** What an upstream does with a request whose head it has read. */
-export type Script = (socket: Socket, head: string) => void
+/** Handles a request whose head an upstream has read. */
+export type UpstreamScript = (socket: Socket, head: string) => void
 
-/** Sends bytes and ends the connection as asked. */
-export function answerWith (text: string, end: 'keep' | 'close' | 'reset' = 'keep'): Script {
+/** Creates a script that sends bytes and then keeps, closes or resets the connection. */
+export function answerWith (text: string, end: 'keep' | 'close' | 'reset' = 'keep'): UpstreamScript {
   return socket => {
     socket.write(text, () => {
       if (end === 'close') socket.end()
-      // The bytes are on their way before the reset.
+      // Lets the bytes arrive before the reset.
       if (end === 'reset') setTimeout(() => socket.resetAndDestroy(), 30)
     })
   }
 }
 
 export class FakeUpstream extends Disposable {
-  readonly heads: string[] = []
+  readonly requestHeads: string[] = []
   closedCount = 0
   address = ''
   private readonly _running = this._register(new DisposableStore())
 
-  constructor (private readonly _script: Script) {
+  constructor (private readonly _script: UpstreamScript) {
     super()
   }
 
-  /** Ends as a process does: its connections close, and new ones are refused. */
-  end (): void {
+  /** Simulates the end of the process: closes its connections and refuses new ones. */
+  stop (): void {
     this._running.dispose()
   }
 
@@ -132,7 +132,7 @@
       socket.on('data', data => {
         text += data.toString('latin1')
         if (!text.includes('\r\n\r\n')) return
-        this.heads.push(text)
+        this.requestHeads.push(text)
         this._script(socket, text)
         text = ''
       })
@@ -148,8 +148,8 @@
   }
 }
 
-/** All bytes that came, and how the connection ended. */
-export interface SeenAnswer {
+/** All received bytes, and how the connection ended. */
+export interface ReceivedAnswer {
   readonly text: string
   readonly end: 'closed' | 'reset'
 }
@@ -159,24 +159,24 @@
   readonly upstreams: readonly FakeUpstream[]
   readonly preparation?: IPreparationService
   readonly retries?: number
-  /** What it shares with other nodes. */
+  /** The facts that it shares with other nodes. */
   readonly facts?: FactStore
   readonly customers?: readonly { readonly name: string, readonly keySha256: string[], readonly homeRegions?: string[] }[]
-  /** The hall of each upstream, in order; all are in one without it. */
+  /** The hall of each upstream, in order; by default all are in one hall. */
   readonly halls?: readonly string[]
   readonly hallRegions?: Readonly<Record<string, string>>
-  /** How callers and upstreams speak; plain HTTP with an id and a time without it. */
+  /** Protocols of callers and upstreams; by default the fake ones of this file. */
   readonly protocols?: { readonly caller: CallerProtocol, readonly upstream: UpstreamProtocol }
 }
 
-const NO_PREPARATION: IPreparationService = {
+const FAILING_PREPARATION: IPreparationService = {
   prepare: () => Promise.resolve(Left({ reason: 'noUpstream', retryAfterMs: 0 }))
 }
 
 export class RelayHarness extends Disposable {
-  readonly ended: EndedRequest[] = []
-  /** Lines of the log, in order. */
-  readonly lines: string[] = []
+  readonly completedRequests: EndedRequest[] = []
+  /** Log lines, in order. */
+  readonly logLines: string[] = []
   readonly registry = this._register(new UpstreamRegistry())
   readonly server: RelayServer
   private _port = 0
@@ -189,7 +189,7 @@
     this._register(toDisposable(() => agent.destroy()))
     const log = new LogService({ program: 'test', silent: true })
     const facts = this._register(_options.facts ?? new FactStore(clock))
-    log.onDidLog(({ line }) => this.lines.push(line))
+    log.onDidLog(({ line }) => this.logLines.push(line))
     const table = new RelayTable(create(RelaySchema, {
       routes: [{ name: 'r', host: 'h', pathPrefix: '/', kind: RouteKind.REPEATABLE, targets: [{ role: 'u', weight: 1 }], timeoutMs: 2000, goalMs: 500, maxAttempts: 2, ..._options.route }],
       roles: [{ name: 'u' }],
@@ -219,7 +219,7 @@
         noteStatements: stated => statements.note(stated),
         quota,
         retry: new RetryBudget({ maxSaved: _options.retries ?? 10 }),
-        preparation: _options.preparation ?? NO_PREPARATION,
+        preparation: _options.preparation ?? FAILING_PREPARATION,
         releaseDelay: new ReleaseDelay(),
         quarantine
       },
@@ -229,10 +229,10 @@
       findObstacle: () => undefined,
       estimateObstacleMs: () => 250
     }))
-    this.server.onDidEnd(ended => this.ended.push(ended))
+    this.server.onDidEnd(ended => this.completedRequests.push(ended))
   }
 
-  /** A boot of an upstream announces itself; resolves with its id. */
+  /** Starts an upstream and registers it; resolves with its id. */
   async addUpstream (upstream: FakeUpstream): Promise<string> {
     const hall = this._options.halls?.[this._upstreamCount] ?? ''
     const id = `u${this._upstreamCount++}`
@@ -246,17 +246,17 @@
     this._port = await this.server.listen('127.0.0.1', 0)
   }
 
-  /** Sends one request on a connection of its own; resolves with all bytes that came and how the connection ended. */
-  call (id: string, headers = '', leaveAfterMs = 0): Promise<SeenAnswer> {
+  /** Sends one request on a separate connection; resolves with all received bytes and how the connection ended. */
+  call (id: string, headers = '', leaveAfterMs = 0): Promise<ReceivedAnswer> {
     return this._exchange(`GET /x HTTP/1.1\r\nHost: h\r\nId: ${id}\r\n${headers}Connection: close\r\n\r\n`, leaveAfterMs)
   }
 
-  /** Sends one request with a body, as `call` does. */
-  submit (id: string, body: string, headers = ''): Promise<SeenAnswer> {
+  /** Like `call`, with a request body. */
+  submit (id: string, body: string, headers = ''): Promise<ReceivedAnswer> {
     return this._exchange(`POST /x HTTP/1.1\r\nHost: h\r\nId: ${id}\r\n${headers}Content-Length: ${Buffer.byteLength(body)}\r\nConnection: close\r\n\r\n${body}`)
   }
 
-  private _exchange (sent: string, leaveAfterMs = 0): Promise<SeenAnswer> {
+  private _exchange (sent: string, leaveAfterMs = 0): Promise<ReceivedAnswer> {
     return new Promise(resolve => {
       const socket = connect(this._port, '127.0.0.1')
       let text = ''
--- a/src/services/relay/test/relayPool.test.ts
+++ b/src/services/relay/test/relayPool.test.ts
@@ -14,19 +14,19 @@
   return new RelayPool({ clock: new VirtualClock(), registry, router: new RoundRobinRouter(), createHealth: () => new TrustingTracker(), countNodes: () => 1, hasEnded: id => ended.has(id) })
 }
 
-/** Where a suspect goes; it stays there. */
+/** Places a suspect at an upstream, where it stays in flight; returns the upstream's id. */
 function placeSuspect (pool: RelayPool, key: string, tried: readonly string[] = []): string {
-  const upstream = pool.chooseApart({ role: 'u', key, tried: new Set(tried) })
+  const upstream = pool.chooseForSuspect({ role: 'u', key, tried: new Set(tried) })
   if (upstream !== undefined) pool.begin(upstream, { prompt: undefined, isSuspect: true })
   return upstream?.id ?? ''
 }
 
-test('suspects go to different upstreams for as long as there are any', () => {
+test('suspects go to different upstreams as long as there is one without a suspect', () => {
   const pool = createPool()
   assert.equal(['g', 'h', 'i', 'j'].map(key => placeSuspect(pool, key)).sort(), ['a', 'b', 'c', 'd'])
 })
 
-test('nodes agree on the upstream of one suspect, and it is not one that was tried or has ended', () => {
+test('nodes choose the same upstream for one suspect, and none that was tried or has terminated', () => {
   const first = placeSuspect(createPool(), 'g')
   assert.is(placeSuspect(createPool(), 'g'), first)
   assert.is.not(placeSuspect(createPool(), 'g', [first]), first)
--- a/src/services/relay/test/relayServer.test.ts
+++ b/src/services/relay/test/relayServer.test.ts
@@ -4,19 +4,19 @@
 import { RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { IPreparationService } from '../../preparation/common/preparationService.ts'
 import { answerWith, FakeUpstream, RelayHarness } from './fakes.ts'
-import type { RelayHarnessOptions, Script } from './fakes.ts'
+import type { RelayHarnessOptions, UpstreamScript } from './fakes.ts'
 
 const test = suite('relayServer')
 
 const OK = 'HTTP/1.1 200 OK\r\nId: a\r\n'
-const WHOLE = `${OK}Content-Length: 4\r\n\r\nbody`
+const COMPLETE_ANSWER = `${OK}Content-Length: 4\r\n\r\nbody`
 const EVENT_HEAD = `${OK}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n`
 
 function formatChunk (text: string): string {
   return `${Buffer.byteLength(text).toString(16)}\r\n${text}\r\n`
 }
 
-async function runWith (scripts: readonly Script[], options: Partial<RelayHarnessOptions>, run: (harness: RelayHarness, upstreams: readonly FakeUpstream[]) => Promise<void>): Promise<void> {
+async function runWith (scripts: readonly UpstreamScript[], options: Partial<RelayHarnessOptions>, run: (harness: RelayHarness, upstreams: readonly FakeUpstream[]) => Promise<void>): Promise<void> {
   const upstreams = scripts.map(script => new FakeUpstream(script))
   const harness = new RelayHarness({ ...options, upstreams })
   try {
@@ -27,7 +27,7 @@
   }
 }
 
-test('a whole answer is handed on as it is', () => runWith([answerWith(WHOLE)], {}, async harness => {
+test('a complete answer is forwarded unchanged', () => runWith([answerWith(COMPLETE_ANSWER)], {}, async harness => {
   const { text } = await harness.call('a')
   assert.match(text, /^HTTP\/1\.1 200 OK\r\n/)
   assert.match(text, /Content-Length: 4/)
@@ -36,58 +36,58 @@
 
 const UNFRAMED = `${OK}Connection: close\r\n\r\nbo`
 
-test('a body that ends with its connection is not handed on as if its end were known', () => runWith([answerWith(UNFRAMED, 'close')], {}, async harness => {
+test('a body that is delimited by the end of the connection is forwarded without other framing', () => runWith([answerWith(UNFRAMED, 'close')], {}, async harness => {
   const { text } = await harness.call('a')
   assert.ok(text.endsWith('\r\n\r\nbo'))
   assert.not.match(text, /Content-Length|chunked/i)
 }))
 
-const torn: readonly (readonly [string, Script])[] = [
+const incompleteAnswers: readonly (readonly [string, UpstreamScript])[] = [
   ['a body without a length that ends in a reset', answerWith(UNFRAMED, 'reset')],
   ['a body shorter than its length', answerWith(`${OK}Content-Length: 9\r\n\r\nbody`, 'close')],
-  ['a chunked body that breaks off', answerWith(`${OK}Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n`, 'close')],
-  ['an answer to another request', answerWith(WHOLE.replace('Id: a', 'Id: b'))],
-  ['bytes that are no answer', answerWith('nonsense\r\n\r\n', 'close')],
+  ['a chunked body that ends early', answerWith(`${OK}Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n`, 'close')],
+  ['an answer to another request', answerWith(COMPLETE_ANSWER.replace('Id: a', 'Id: b'))],
+  ['bytes that are not an HTTP response', answerWith('nonsense\r\n\r\n', 'close')],
   ['no answer at all', socket => socket.destroy()]
 ]
 
-for (const [name, script] of torn) {
-  test(`${name} counts as unknown, and only a repeatable request is sent again`, async () => {
+for (const [name, script] of incompleteAnswers) {
+  test(`${name} is an unknown outcome, and only a repeatable request is retried`, async () => {
     await runWith([script, script], {}, async (harness, upstreams) => {
       const { text } = await harness.call('a')
       assert.match(text, /^HTTP\/1\.1 502 .*outcomeUnknown$/s)
-      assert.is(upstreams.reduce((sum, upstream) => sum + upstream.heads.length, 0), 2)
+      assert.is(upstreams.reduce((sum, upstream) => sum + upstream.requestHeads.length, 0), 2)
     })
     await runWith([script, script], { route: { kind: RouteKind.UNREPEATABLE, maxAttempts: 2 } }, async (harness, upstreams) => {
       const { text } = await harness.call('a')
       assert.match(text, /^HTTP\/1\.1 502 .*outcomeUnknown$/s)
-      assert.is(upstreams.reduce((sum, upstream) => sum + upstream.heads.length, 0), 1)
+      assert.is(upstreams.reduce((sum, upstream) => sum + upstream.requestHeads.length, 0), 1)
     })
   })
 
-  test(`${name} is replaced by the answer of another upstream`, () => runWith([script, answerWith(WHOLE)], {}, async harness => {
+  test(`${name} is replaced by the answer of another upstream`, () => runWith([script, answerWith(COMPLETE_ANSWER)], {}, async harness => {
     assert.ok((await harness.call('a')).text.endsWith('body'))
   }))
 }
 
-test('a further answer behind a whole one reaches nobody', () => runWith([answerWith(WHOLE + WHOLE.replace('Id: a', 'Id: z'))], {}, async harness => {
+test('an additional answer after a complete one is discarded', () => runWith([answerWith(COMPLETE_ANSWER + COMPLETE_ANSWER.replace('Id: a', 'Id: z'))], {}, async harness => {
   assert.ok((await harness.call('a')).text.endsWith('body'))
   const { text } = await harness.call('a')
   assert.not.match(text, /Id: z/)
 }))
 
-test('bytes behind a whole answer change nothing', () => runWith([answerWith(`${WHOLE}garbage`)], {}, async harness => {
+test('additional bytes after a complete answer are ignored', () => runWith([answerWith(`${COMPLETE_ANSWER}garbage`)], {}, async harness => {
   const { text } = await harness.call('a')
   assert.ok(text.endsWith('\r\n\r\nbody'))
 }))
 
-test('what upstreams turned away is refused as not run, also when it must not be repeated', () => runWith(
+test('a request that upstreams refused is reported as not run, also if it is not repeatable', () => runWith(
   [answerWith('HTTP/1.1 503 Busy\r\nUnrun: full\r\nContent-Length: 0\r\n\r\n')],
   { route: { kind: RouteKind.UNREPEATABLE, maxAttempts: 1 } },
   async harness => assert.match((await harness.call('a')).text, /^HTTP\/1\.1 503 /)
 ))
 
-test('a failure of the upstream\'s own is handed on when it may not run again', () => runWith(
+test('an error response of the upstream is forwarded if the request must not run again', () => runWith(
   [answerWith('HTTP/1.1 500 Failed\r\nId: a\r\nContent-Length: 3\r\n\r\nbad')],
   { route: { kind: RouteKind.UNREPEATABLE, maxAttempts: 1 } },
   async harness => {
@@ -97,44 +97,44 @@
   }
 ))
 
-test('a request is not held beyond the time of its route', () => runWith([() => {}], { route: { timeoutMs: 200, maxAttempts: 1 } }, async harness => {
+test('a request is refused when the timeout of its route has passed', () => runWith([() => {}], { route: { timeoutMs: 200, maxAttempts: 1 } }, async harness => {
   const startedAt = performance.now()
   assert.match((await harness.call('a')).text, /^HTTP\/1\.1 502 .*deadlinePassed$/s)
   assert.ok(performance.now() - startedAt < 400)
 }))
 
-test('a caller that leaves ends the work upstream', () => runWith([() => {}], {}, async (harness, upstreams) => {
+test('when a caller disconnects, its request at the upstream is cancelled', () => runWith([() => {}], {}, async (harness, upstreams) => {
   await harness.call('a', '', 100)
   await new Promise(resolve => { setTimeout(resolve, 100) })
   assert.is(upstreams[0]?.closedCount, 1)
-  assert.is(harness.ended[0]?.end.result, 'cancelled')
+  assert.is(harness.completedRequests[0]?.end.result, 'cancelled')
 }))
 
-/** Preparation that never ends by itself. */
-const endless: IPreparationService = {
+/** Preparation that only ends when it is aborted. */
+const blockingPreparation: IPreparationService = {
   prepare: (_job, signal) => new Promise(resolve => { signal.addEventListener('abort', () => resolve(Left({ reason: 'interrupted', retryAfterMs: 0 }))) })
 }
 
-test('a node that stops refuses what waits, as not run, and lets end what was sent', () => runWith([
-  socket => { setTimeout(() => socket.write(WHOLE.replace('Id: a', 'Id: b')), 100) }
-], { route: { stages: [{ role: 'p', after: [], resultBytes: 1 }] }, preparation: endless }, async (harness, upstreams) => {
+test('a stopping node refuses waiting requests as not run, and completes those that were sent', () => runWith([
+  socket => { setTimeout(() => socket.write(COMPLETE_ANSWER.replace('Id: a', 'Id: b')), 100) }
+], { route: { stages: [{ role: 'p', after: [], resultBytes: 1 }] }, preparation: blockingPreparation }, async (harness, upstreams) => {
   const waiting = harness.call('a', 'Pieces: 1\r\n')
   const sent = harness.call('b')
-  while (upstreams[0]?.heads.length !== 1 || harness.server.openCount < 2) await new Promise(resolve => { setTimeout(resolve, 5) })
+  while (upstreams[0]?.requestHeads.length !== 1 || harness.server.openCount < 2) await new Promise(resolve => { setTimeout(resolve, 5) })
   harness.server.giveUpWaiting()
   assert.match((await waiting).text, /^HTTP\/1\.1 503 .*gateDraining$/s)
   assert.match((await sent).text, /^HTTP\/1\.1 200 .*body$/s)
 }))
 
-test('a node near its end sends new requests elsewhere', () => runWith([answerWith(WHOLE)], {}, async (harness, upstreams) => {
+test('a node that is about to stop refuses new requests', () => runWith([answerWith(COMPLETE_ANSWER)], {}, async (harness, upstreams) => {
   harness.server.refuseNew()
   assert.match((await harness.call('a')).text, /^HTTP\/1\.1 503 .*gateDraining$/s)
-  assert.is(upstreams[0]?.heads.length, 0)
+  assert.is(upstreams[0]?.requestHeads.length, 0)
 }))
 
 const stream = { kind: RouteKind.STREAM, maxAttempts: 2, isResumable: true }
 
-test('a stream is handed on in whole events, and goes on elsewhere after its last one', () => runWith([
+test('a stream is forwarded in complete events, and resumes at another upstream after its last one', () => runWith([
   socket => {
     socket.write(EVENT_HEAD + formatChunk('id: 1\ndata: x\n\n') + formatChunk('id: 2\nda'), () => { setTimeout(() => socket.resetAndDestroy(), 30) })
   },
@@ -149,7 +149,7 @@
   assert.ok(text.endsWith('0\r\n\r\n'))
 }))
 
-test('a stream that may not go on elsewhere is cut, never ended as whole', () => runWith([
+test('a stream that cannot be resumed is aborted, never ended as complete', () => runWith([
   socket => { socket.write(EVENT_HEAD + formatChunk('id: 1\ndata: x\n\n'), () => { setTimeout(() => socket.resetAndDestroy(), 30) }) }
 ], { route: { kind: RouteKind.STREAM, maxAttempts: 2 } }, async harness => {
   const { text } = await harness.call('a')
@@ -157,14 +157,14 @@
   assert.not.ok(text.endsWith('0\r\n\r\n'))
 }))
 
-test('without a customer\'s key nothing is sent', () => runWith([answerWith(WHOLE)], { customers: [{ name: 'c', keySha256: ['0'.repeat(64)] }] }, async (harness, upstreams) => {
+test('a request without a valid customer key is refused and not sent', () => runWith([answerWith(COMPLETE_ANSWER)], { customers: [{ name: 'c', keySha256: ['0'.repeat(64)] }] }, async (harness, upstreams) => {
   assert.match((await harness.call('a', 'Key: wrong\r\n')).text, /^HTTP\/1\.1 502 .*keyWrong$/s)
-  assert.is(upstreams[0]?.heads.length, 0)
+  assert.is(upstreams[0]?.requestHeads.length, 0)
 }))
 
-test('the lines with its id tell why a request failed', () => runWith([socket => socket.resetAndDestroy()], { route: { kind: RouteKind.UNREPEATABLE, maxAttempts: 1 } }, async harness => {
+test('the log lines with the id of a request state why it failed', () => runWith([socket => socket.resetAndDestroy()], { route: { kind: RouteKind.UNREPEATABLE, maxAttempts: 1 } }, async harness => {
   await harness.call('a')
-  const lines = harness.lines.filter(line => line.includes('request=a '))
+  const lines = harness.logLines.filter(line => line.includes('request=a '))
   assert.is(lines.length, 2)
   assert.match(lines[0] ?? '', /event=attempt_ended request=a upstream=u0 role=u outcome=lost reason="(?:read ECONNRESET|socket hang up)" next=refuse sends=1 may_have_run=1 left_ms=\d+ digest=[0-9a-f]{32}$/)
   assert.match(lines[1] ?? '', /event=request_refused request=a code=304 result=outcomeUnknown reason="[^"]+" place=u not_run=false retry_after_ms=0 configuration="1\.7 for 20 ms"$/)
--- a/src/services/relay/test/statedRateLimit.test.ts
+++ b/src/services/relay/test/statedRateLimit.test.ts
@@ -1,18 +1,19 @@
-// An upstream that stated a limit of one request a second got 14 requests within 4 s from nodes that knew it.
+// Guards against exceeding a stated rate limit: an upstream with a limit of one request per second received 14 requests
+// within 4 s from nodes that knew the limit.
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { FakeUpstream, RelayHarness } from './fakes.ts'
 
 const test = suite('statedRateLimit')
 
-const PER_S = 5
+const LIMIT_PER_S = 5
 const TRAFFIC_MS = 2000
 const PERIOD_MS = 10
-/** The limit is not known before its first answer. */
-const KNOWN_MS = 500
+/** Time after which the relay knows the limit, which comes with the first answer. */
+const LIMIT_KNOWN_MS = 500
 const MS_PER_S = 1000
 
-/** Answers each request, and keeps when it came. */
+/** Answers each request and records its time of arrival. */
 class CountingUpstream extends FakeUpstream {
   readonly arrivedAt: number[] = []
 
@@ -30,12 +31,12 @@
   }
 }
 
-/** A caller sends one request after the other for some time; resolves with all answers. */
-async function callFor (harness: RelayHarness, forMs: number): Promise<readonly string[]> {
-  const until = performance.now() + forMs
+/** Sends a request every 10 ms for the given time; resolves with all answers. */
+async function callRepeatedly (harness: RelayHarness, durationMs: number): Promise<readonly string[]> {
+  const until = performance.now() + durationMs
   const answers: Promise<string>[] = []
   while (performance.now() < until) {
-    answers.push(harness.call(`r${answers.length}-${forMs}`).then(({ text }) => text))
+    answers.push(harness.call(`r${answers.length}-${durationMs}`).then(({ text }) => text))
     await new Promise(resolve => { setTimeout(resolve, PERIOD_MS) })
   }
   return await Promise.all(answers)
@@ -54,43 +55,43 @@
 
 const isServed = (text: string) => text.startsWith('HTTP/1.1 200')
 
-test('an upstream gets close to the limit that it states and no more, and the others get the rest', () => runRelay([() => String(PER_S), () => undefined], async (harness, [limited]) => {
+test('an upstream is used up to the limit that it states, and the others get the remaining requests', () => runRelay([() => String(LIMIT_PER_S), () => undefined], async (harness, [limited]) => {
   const startedAt = performance.now()
-  const answers = await callFor(harness, TRAFFIC_MS)
-  const count = limited?.countAfter(startedAt + KNOWN_MS) ?? 0
-  const perS = count / (TRAFFIC_MS - KNOWN_MS) * MS_PER_S
-  assert.ok(perS <= PER_S * 1.5, `${perS} a second`)
-  assert.ok(perS >= PER_S * 0.8, `${perS} a second`)
+  const answers = await callRepeatedly(harness, TRAFFIC_MS)
+  const count = limited?.countAfter(startedAt + LIMIT_KNOWN_MS) ?? 0
+  const perS = count / (TRAFFIC_MS - LIMIT_KNOWN_MS) * MS_PER_S
+  assert.ok(perS <= LIMIT_PER_S * 1.5, `${perS} a second`)
+  assert.ok(perS >= LIMIT_PER_S * 0.8, `${perS} a second`)
   assert.ok(answers.every(isServed))
 }))
 
-test('when all upstreams of a role are at their limits, what they do not accept is refused at once', () => runRelay([() => String(PER_S), () => String(PER_S)], async (harness, upstreams) => {
-  await callFor(harness, KNOWN_MS)
+test('when all upstreams of a role are at their limits, further requests are refused at once', () => runRelay([() => String(LIMIT_PER_S), () => String(LIMIT_PER_S)], async (harness, upstreams) => {
+  await callRepeatedly(harness, LIMIT_KNOWN_MS)
   const startedAt = performance.now()
-  const answers = await callFor(harness, TRAFFIC_MS)
+  const answers = await callRepeatedly(harness, TRAFFIC_MS)
   const arrived = upstreams.reduce((sum, upstream) => sum + upstream.countAfter(startedAt), 0)
-  assert.ok(arrived / TRAFFIC_MS * MS_PER_S <= 2 * PER_S * 1.5, `${arrived} arrived`)
+  assert.ok(arrived / TRAFFIC_MS * MS_PER_S <= 2 * LIMIT_PER_S * 1.5, `${arrived} arrived`)
   assert.is(answers.filter(isServed).length, arrived)
   assert.ok(answers.filter(text => !isServed(text)).every(text => text.startsWith('HTTP/1.1 503')))
-  assert.ok(harness.ended.filter(({ end }) => end.attempts === 0).every(({ elapsedMs }) => elapsedMs < 100))
+  assert.ok(harness.completedRequests.filter(({ end }) => end.attempts === 0).every(({ elapsedMs }) => elapsedMs < 100))
 }))
 
-test('a limit of 0 is taken back with an answer that does not state it', async () => {
+test('a limit of 0 is withdrawn by an answer that does not state a limit', async () => {
   let limit: string | undefined = '0'
   await runRelay([() => limit], async (harness, [limited]) => {
-    await callFor(harness, KNOWN_MS)
+    await callRepeatedly(harness, LIMIT_KNOWN_MS)
     const startedAt = performance.now()
-    await callFor(harness, TRAFFIC_MS)
+    await callRepeatedly(harness, TRAFFIC_MS)
     assert.ok((limited?.countAfter(startedAt) ?? 0) <= 1)
     limit = undefined
-    await callFor(harness, TRAFFIC_MS * 2)
-    assert.ok((await callFor(harness, KNOWN_MS)).every(isServed))
+    await callRepeatedly(harness, TRAFFIC_MS * 2)
+    assert.ok((await callRepeatedly(harness, LIMIT_KNOWN_MS)).every(isServed))
   })
 })
 
-test('a value that is no rate changes nothing, and is logged with its name', () => runRelay([() => 'soon'], async harness => {
-  assert.ok((await callFor(harness, KNOWN_MS)).every(isServed))
-  assert.ok(harness.lines.some(line => line.includes('event=statement_invalid') && line.includes('name=limit value=soon')))
+test('an invalid rate has no effect, and is logged with the name of its header', () => runRelay([() => 'soon'], async harness => {
+  assert.ok((await callRepeatedly(harness, LIMIT_KNOWN_MS)).every(isServed))
+  assert.ok(harness.logLines.some(line => line.includes('event=statement_invalid') && line.includes('name=limit value=soon')))
 }))
 
 test.run()
