--- a/src/services/backoff/common/backoff.ts
+++ b/src/services/backoff/common/backoff.ts
@@ -1,17 +1,17 @@
 /**
- * Pauses that upstreams asked this node for.
+ * Backoff periods that upstreams requested from this node.
  */
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 
 export interface IBackoffService {
-  /** No upstream is left alone. */
+  /** True if no upstream has requested a backoff. */
   readonly isEmpty: boolean
-  /** How long nothing may be sent there, in milliseconds. */
+  /** Returns the time in ms until a request may be sent to the upstream; 0 if one may be sent now. */
   getWaitMs (upstream: string): number
-  /** Takes in that something is about to be written; false where it must not be. */
+  /** To be called right before a request is written. Returns false if it must not be sent. */
   beginSend (upstream: string): boolean
-  /** Takes in whether an upstream took what was written at some time on the process's clock. */
-  settleSend (upstream: string, sentAt: number, isTaken: boolean): void
-  /** When a caller should return whose request can go to none of these, all of which want nothing now, in milliseconds. */
+  /** Records whether the upstream accepted a request that was written at a time on this process's clock. */
+  settleSend (upstream: string, sentAt: number, isAccepted: boolean): void
+  /** Returns the delay in ms after which a caller should retry when all of these upstreams are backing off. */
   scheduleReturn (role: string, entries: readonly UpstreamEntry[]): number
 }
--- a/src/services/backoff/common/backoffBook.ts
+++ b/src/services/backoff/common/backoffBook.ts
@@ -1,86 +1,87 @@
 /**
- * Upstreams that turned this node away and asked for a pause. When a pause ends, the upstream gets one request, and more
- * once it took that: everything that waited would be turned away together.
+ * Upstreams that refused requests from this node and requested a backoff. When the backoff ends, one trial request is sent,
+ * and more only once the upstream has accepted it: if all waiting requests were sent at once, all could be refused again.
  */
 
-/** An upstream that is left alone, or tried again after that. */
+/** An upstream that is backing off or on trial. */
 export interface KnownBackoff {
   readonly upstream: string
-  /** Until the pause ends, in milliseconds; 0 when it has. */
+  /** Time in ms until the backoff ends; 0 if it has ended. */
   readonly leftMs: number
-  /** Since the upstream asked for it last, in milliseconds. */
+  /** Time in ms since the upstream last requested a backoff. */
   readonly ageMs: number
+  /** The trial request was sent, and it is not known yet whether the upstream accepts it. */
   readonly isOnTrial: boolean
 }
 
-/** What a send to an upstream is. */
+/** Whether a request is sent without restrictions, as the trial request after a backoff, or not at all. */
 export type SendKind = 'usual' | 'trial' | 'denied'
 
-/** An upstream that has not turned the first request away within this has taken it, also when it answers much later. */
-export const TRIAL_MS = 250
+/** A trial request counts as accepted if it was not refused within this time, since its answer may take much longer. */
+export const TRIAL_TIMEOUT_MS = 250
 
 interface Backoff {
-  readonly until: number
-  readonly askedAt: number
-  /** When the first request after the pause was sent. */
-  readonly trialAt: number | undefined
+  readonly endsAt: number
+  readonly requestedAt: number
+  /** When the trial request was sent; undefined if none is in flight. */
+  readonly trialStartedAt: number | undefined
 }
 
-export class BackoffBook {
-  private readonly _held = new Map<string, Backoff>()
+export class BackoffTable {
+  private readonly _backoffs = new Map<string, Backoff>()
 
   get isEmpty (): boolean {
-    return this._held.size === 0
+    return this._backoffs.size === 0
   }
 
-  /** A shorter pause that is asked for later does not end a longer one. */
-  note (upstream: string, forMs: number, now: number): void {
-    this._held.set(upstream, { until: Math.max(now + forMs, this._held.get(upstream)?.until ?? 0), askedAt: now, trialAt: undefined })
+  /** A shorter backoff that is requested later does not cut a longer one short. */
+  record (upstream: string, forMs: number, now: number): void {
+    this._backoffs.set(upstream, { endsAt: Math.max(now + forMs, this._backoffs.get(upstream)?.endsAt ?? 0), requestedAt: now, trialStartedAt: undefined })
   }
 
-  /** How long nothing may be sent, in milliseconds. */
+  /** Returns the time in ms until a request may be sent, which includes the wait for the trial request's result. */
   getWaitMs (upstream: string, now: number): number {
-    const held = this._held.get(upstream)
-    return held === undefined ? 0 : computeWaitMs(held, now)
+    const backoff = this._backoffs.get(upstream)
+    return backoff === undefined ? 0 : computeWaitMs(backoff, now)
   }
 
-  /** Takes in that something is about to be written. */
+  /** To be called right before a request is written. */
   beginSend (upstream: string, now: number): SendKind {
-    const held = this._held.get(upstream)
-    if (held === undefined) return 'usual'
-    if (computeWaitMs(held, now) > 0) return 'denied'
-    if (held.trialAt !== undefined) {
-      this._held.delete(upstream)
+    const backoff = this._backoffs.get(upstream)
+    if (backoff === undefined) return 'usual'
+    if (computeWaitMs(backoff, now) > 0) return 'denied'
+    if (backoff.trialStartedAt !== undefined) {
+      this._backoffs.delete(upstream)
       return 'usual'
     }
-    this._held.set(upstream, { ...held, trialAt: now })
+    this._backoffs.set(upstream, { ...backoff, trialStartedAt: now })
     return 'trial'
   }
 
-  /** Takes in what became of something that was written at some time. True where the upstream is as before its pause. */
-  settleSend (upstream: string, sentAt: number, isTaken: boolean): boolean {
-    const held = this._held.get(upstream)
-    if (held?.trialAt === undefined || sentAt < held.trialAt) return false
-    if (isTaken) return this._held.delete(upstream)
-    this._held.set(upstream, { ...held, trialAt: undefined })
+  /** Records the result of a request; results of those sent before the trial are ignored. Returns true if it ends the backoff. */
+  recordSendResult (upstream: string, sentAt: number, isAccepted: boolean): boolean {
+    const backoff = this._backoffs.get(upstream)
+    if (backoff?.trialStartedAt === undefined || sentAt < backoff.trialStartedAt) return false
+    if (isAccepted) return this._backoffs.delete(upstream)
+    this._backoffs.set(upstream, { ...backoff, trialStartedAt: undefined })
     return false
   }
 
-  /** What is known is from before a pause of this process: all may be tried. */
-  expire (now: number): void {
-    for (const [upstream, held] of this._held) this._held.set(upstream, { ...held, until: Math.min(held.until, now), trialAt: undefined })
+  /** Ends all backoffs after a pause of this process, since the state is outdated. Each upstream gets a trial request first. */
+  expireAll (now: number): void {
+    for (const [upstream, backoff] of this._backoffs) this._backoffs.set(upstream, { ...backoff, endsAt: Math.min(backoff.endsAt, now), trialStartedAt: undefined })
   }
 
   forget (upstream: string): void {
-    this._held.delete(upstream)
+    this._backoffs.delete(upstream)
   }
 
   list (now: number): readonly KnownBackoff[] {
-    return [...this._held].map(([upstream, { until, askedAt, trialAt }]) => ({ upstream, leftMs: Math.max(0, until - now), ageMs: now - askedAt, isOnTrial: trialAt !== undefined }))
+    return [...this._backoffs].map(([upstream, { endsAt, requestedAt, trialStartedAt }]) => ({ upstream, leftMs: Math.max(0, endsAt - now), ageMs: now - requestedAt, isOnTrial: trialStartedAt !== undefined }))
   }
 }
 
-function computeWaitMs ({ until, trialAt }: Backoff, now: number): number {
-  if (now < until) return until - now
-  return trialAt === undefined ? 0 : Math.max(0, trialAt + TRIAL_MS - now)
+function computeWaitMs ({ endsAt, trialStartedAt }: Backoff, now: number): number {
+  if (now < endsAt) return endsAt - now
+  return trialStartedAt === undefined ? 0 : Math.max(0, trialStartedAt + TRIAL_TIMEOUT_MS - now)
 }
--- a/src/services/backoff/common/returnSpread.ts
+++ b/src/services/backoff/common/returnSpread.ts
@@ -1,30 +1,30 @@
 /**
- * When callers may return while all upstreams of a role pause: one at the end of the first pause, and all others spread
- * over the time after its trial, when that upstream takes any number again.
+ * Computes retry delays for callers while all upstreams of a role are backing off. One caller retries when the first backoff
+ * ends, as the trial request. All others are spread over the time after the trial, when that upstream accepts any number.
  */
-import { TRIAL_MS } from './backoffBook.ts'
+import { TRIAL_TIMEOUT_MS } from './backoffBook.ts'
 
-interface SpreadState {
-  /** When the first pause ends, on the process's clock. */
-  readonly endAt: number
-  /** Callers that were told to return then or later. */
-  readonly count: number
+interface StaggerState {
+  /** When the first backoff ends, in ms on this process's clock. */
+  readonly endsAt: number
+  /** Callers that were given a delay until then or later. */
+  readonly scheduledCount: number
 }
 
 const STEP_MS = 50
-const SPREAD_MS = 1000
-const MIN_RETURN_MS = 50
+const MAX_STAGGER_MS = 1000
+const MIN_RETRY_AFTER_MS = 50
 
-export class ReturnSpread {
-  private readonly _byRole = new Map<string, SpreadState>()
+export class StaggeredRetryAfter {
+  private readonly _states = new Map<string, StaggerState>()
 
-  /** Milliseconds from now, given those until the end of the first pause. */
-  schedule (role: string, soonestMs: number, now: number): number {
-    const endAt = now + soonestMs
-    const held = this._byRole.get(role)
-    const count = held !== undefined && endAt <= held.endAt ? held.count : 0
-    this._byRole.set(role, { endAt: Math.max(endAt, held?.endAt ?? 0), count: count + 1 })
-    const afterMs = count === 0 ? 0 : TRIAL_MS + (count - 1) * STEP_MS % SPREAD_MS
-    return Math.max(MIN_RETURN_MS, soonestMs + afterMs)
+  /** Returns the delay in ms; `earliestMs` is the time until the first backoff ends. */
+  schedule (role: string, earliestMs: number, now: number): number {
+    const endsAt = now + earliestMs
+    const previous = this._states.get(role)
+    const scheduledCount = previous !== undefined && endsAt <= previous.endsAt ? previous.scheduledCount : 0
+    this._states.set(role, { endsAt: Math.max(endsAt, previous?.endsAt ?? 0), scheduledCount: scheduledCount + 1 })
+    const staggerMs = scheduledCount === 0 ? 0 : TRIAL_TIMEOUT_MS + (scheduledCount - 1) * STEP_MS % MAX_STAGGER_MS
+    return Math.max(MIN_RETRY_AFTER_MS, earliestMs + staggerMs)
   }
 }
--- a/src/services/backoff/node/backoffPieces.ts
+++ b/src/services/backoff/node/backoffPieces.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to upstreams that make pieces, with respect for the pauses that these ask for.
+ * Decorates calls to upstreams that compute pieces: respects the backoffs that the upstreams request.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { PieceProtocol } from '../../preparation/common/pieceProtocol.ts'
@@ -8,29 +8,29 @@
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { IBackoffService } from '../common/backoff.ts'
 
-/** Results that are given back as soon as their upstream takes calls again. */
+/** Results that will be freed in one call when their upstream's backoff has ended. */
 class DelayedFree {
   readonly handles: string[] = []
 
-  constructor (readonly done: Promise<boolean>) {}
+  constructor (readonly completion: Promise<boolean>) {}
 }
 
-/** After this, what was not given back has gone by itself. */
+/** Results that were not freed by then have been removed by the upstream itself. */
 const MAX_FREE_DELAY_MS = 10_000
 
 export class BackoffPieces extends PieceProtocol {
-  private readonly _frees = new Map<string, DelayedFree>()
+  private readonly _delayedFrees = new Map<string, DelayedFree>()
 
-  constructor (private readonly _pieces: PieceProtocol, private readonly _backoffs: IBackoffService, private readonly _clock: IClock) {
+  constructor (private readonly _inner: PieceProtocol, private readonly _backoffs: IBackoffService, private readonly _clock: IClock) {
     super()
-    _pieces.onDidState(stated => this._onDidState.fire(stated))
+    _inner.onDidState(stated => this._onDidState.fire(stated))
   }
 
   async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallTerms): Promise<PieceCallOutcome> {
     const waitMs = this._backoffs.getWaitMs(upstream.id)
     if (waitMs > 0) return { kind: 'notRun', reason: 'backingOff', retryInMs: waitMs }
     let sentAt: number | undefined
-    const outcome = await this._pieces.runPieces(upstream, pieces, {
+    const outcome = await this._inner.runPieces(upstream, pieces, {
       ...terms,
       onWillSend: () => {
         if (terms.onWillSend?.() === false) return false
@@ -43,12 +43,12 @@
     return outcome.kind === 'notRun' && leftMs > 0 ? { kind: 'notRun', reason: 'backingOff', retryInMs: leftMs } : outcome
   }
 
-  /** Together with all that is to be given back there by then. */
+  /** During a backoff, the results are freed after it, together with all others of the same upstream. */
   async freeResults (upstream: UpstreamEntry, handles: readonly string[]): Promise<boolean> {
-    const delayed = this._frees.get(upstream.id)
+    const delayed = this._delayedFrees.get(upstream.id)
     if (delayed !== undefined) {
       delayed.handles.push(...handles)
-      return await delayed.done
+      return await delayed.completion
     }
     const waitMs = this._backoffs.getWaitMs(upstream.id)
     if (waitMs === 0) return await this._freeNow(upstream, handles)
@@ -57,20 +57,20 @@
   }
 
   private async _delayFree (upstream: UpstreamEntry, handles: readonly string[]): Promise<boolean> {
-    const delayed: DelayedFree = new DelayedFree(this._waitForEnd(upstream).then(isOver => {
-      this._frees.delete(upstream.id)
-      return isOver && this._freeNow(upstream, delayed.handles)
+    const delayed: DelayedFree = new DelayedFree(this._waitForBackoffEnd(upstream).then(hasEnded => {
+      this._delayedFrees.delete(upstream.id)
+      return hasEnded && this._freeNow(upstream, delayed.handles)
     }))
     delayed.handles.push(...handles)
-    this._frees.set(upstream.id, delayed)
-    return await delayed.done
+    this._delayedFrees.set(upstream.id, delayed)
+    return await delayed.completion
   }
 
-  /** False where the pause became too long. */
-  private async _waitForEnd ({ id }: UpstreamEntry): Promise<boolean> {
-    const until = this._clock.now() + MAX_FREE_DELAY_MS
+  /** Resolves to false if the backoff is too long, also when it was prolonged in the meantime. */
+  private async _waitForBackoffEnd ({ id }: UpstreamEntry): Promise<boolean> {
+    const giveUpAt = this._clock.now() + MAX_FREE_DELAY_MS
     for (let waitMs = this._backoffs.getWaitMs(id); waitMs > 0; waitMs = this._backoffs.getWaitMs(id)) {
-      if (this._clock.now() + waitMs > until) return false
+      if (this._clock.now() + waitMs > giveUpAt) return false
       await new Promise<void>(resolve => { this._clock.schedule(waitMs, resolve) })
     }
     return true
@@ -78,14 +78,14 @@
 
   private async _freeNow (upstream: UpstreamEntry, handles: readonly string[]): Promise<boolean> {
     let sentAt: number | undefined
-    const isDone = await this._pieces.freeResults(upstream, handles, {
+    const isFreed = await this._inner.freeResults(upstream, handles, {
       onWillSend: () => {
         if (!this._backoffs.beginSend(upstream.id)) return false
         sentAt = this._clock.now()
         return true
       }
     })
-    if (sentAt !== undefined) this._backoffs.settleSend(upstream.id, sentAt, isDone)
-    return isDone
+    if (sentAt !== undefined) this._backoffs.settleSend(upstream.id, sentAt, isFreed)
+    return isFreed
   }
 }
--- a/src/services/backoff/test/backoffPieces.test.ts
+++ b/src/services/backoff/test/backoffPieces.test.ts
@@ -10,28 +10,28 @@
 import { BackoffPieces } from '../node/backoffPieces.ts'
 import { BackoffService } from '../node/backoffService.ts'
 
-const test = suite('backoffPieces')
+const test = suite('backoffPieceCalls')
 
 const UPSTREAM: UpstreamEntry = { id: 'u', role: 'r', address: '127.0.0.1:9', hall: 'x', slots: 8, isLeaving: false }
-const PAUSE_MS = 3000
+const BACKOFF_MS = 3000
 const TERMS: PieceCallTerms = { timeoutMs: 100 }
 
-/** Keeps what was written, and may state a pause with its answers. */
-class FakePieces extends PieceProtocol {
-  readonly written: string[] = []
-  pauseMs = 0
+/** Records the calls that were sent, and can request a backoff in its answers. */
+class FakePieceProtocol extends PieceProtocol {
+  readonly sentCalls: string[] = []
+  backoffMs = 0
 
   runPieces (upstream: UpstreamEntry, _pieces: unknown, { onWillSend }: PieceCallTerms): Promise<PieceCallOutcome> {
     if (onWillSend?.() === false) return Promise.resolve({ kind: 'notRun', reason: 'withheld' })
-    this.written.push('run')
-    if (this.pauseMs === 0) return Promise.resolve({ kind: 'answered', pieces: [] })
-    this._onDidState.fire({ upstream: upstream.id, statements: [{ kind: 'backoff', forMs: this.pauseMs }] })
+    this.sentCalls.push('run')
+    if (this.backoffMs === 0) return Promise.resolve({ kind: 'answered', pieces: [] })
+    this._onDidState.fire({ upstream: upstream.id, statements: [{ kind: 'backoff', forMs: this.backoffMs }] })
     return Promise.resolve({ kind: 'notRun', reason: 'full' })
   }
 
   freeResults (_upstream: UpstreamEntry, handles: readonly string[], { onWillSend }: FreeTerms = {}): Promise<boolean> {
     if (onWillSend?.() === false) return Promise.resolve(false)
-    this.written.push(`free ${handles.join(' ')}`)
+    this.sentCalls.push(`free ${handles.join(' ')}`)
     return Promise.resolve(true)
   }
 }
@@ -41,66 +41,66 @@
   const registry = new UpstreamRegistry()
   registry.update(UPSTREAM, 'test')
   const backoffs = new BackoffService({ clock, log: new LogService({ program: 'test', silent: true }), registry })
-  const fake = new FakePieces()
+  const fake = new FakePieceProtocol()
   const pieces = new BackoffPieces(fake, backoffs, clock)
-  pieces.onDidState(({ upstream }) => backoffs.note(upstream, fake.pauseMs))
+  pieces.onDidState(({ upstream }) => backoffs.note(upstream, fake.backoffMs))
   return { clock, registry, backoffs, fake, pieces }
 }
 
-/** Lets all that waits for a promise go on. */
-async function settle (): Promise<void> {
+/** Lets pending promise callbacks run. */
+async function flushPromises (): Promise<void> {
   for (let count = 0; count < 20; count++) await Promise.resolve()
 }
 
-test('a call that is turned away with a pause tells its length, and none is written within it', async () => {
+test('a call that is refused with a backoff returns its length, and no call is sent before it ends', async () => {
   const { clock, fake, pieces } = createParts()
-  fake.pauseMs = PAUSE_MS
-  assert.equal(await pieces.runPieces(UPSTREAM, [], TERMS), { kind: 'notRun', reason: 'backingOff', retryInMs: PAUSE_MS })
+  fake.backoffMs = BACKOFF_MS
+  assert.equal(await pieces.runPieces(UPSTREAM, [], TERMS), { kind: 'notRun', reason: 'backingOff', retryInMs: BACKOFF_MS })
   clock.advance(1000)
-  assert.equal(await pieces.runPieces(UPSTREAM, [], TERMS), { kind: 'notRun', reason: 'backingOff', retryInMs: PAUSE_MS - 1000 })
-  assert.equal(fake.written, ['run'])
+  assert.equal(await pieces.runPieces(UPSTREAM, [], TERMS), { kind: 'notRun', reason: 'backingOff', retryInMs: BACKOFF_MS - 1000 })
+  assert.equal(fake.sentCalls, ['run'])
 })
 
-test('results are given back together at the end of a pause', async () => {
+test('results are freed together at the end of a backoff', async () => {
   const { clock, fake, pieces, backoffs } = createParts()
-  backoffs.note('u', PAUSE_MS)
+  backoffs.note('u', BACKOFF_MS)
   const frees = [pieces.freeResults(UPSTREAM, ['a']), pieces.freeResults(UPSTREAM, ['b', 'c'])]
-  clock.advance(PAUSE_MS - 1)
-  await settle()
-  assert.equal(fake.written, [])
+  clock.advance(BACKOFF_MS - 1)
+  await flushPromises()
+  assert.equal(fake.sentCalls, [])
   clock.advance(1)
   assert.equal(await Promise.all(frees), [true, true])
-  assert.equal(fake.written, ['free a b c'])
+  assert.equal(fake.sentCalls, ['free a b c'])
 })
 
-test('what cannot be given back for long is left to its lifetime', async () => {
+test('results that cannot be freed for a long time are left to expire', async () => {
   const { fake, pieces, backoffs } = createParts()
   backoffs.note('u', 60_000)
   assert.not(await pieces.freeResults(UPSTREAM, ['a']))
-  assert.equal(fake.written, [])
+  assert.equal(fake.sentCalls, [])
 })
 
-test('a pause ends with its boot', () => {
+test('a backoff ends when its upstream instance is removed', () => {
   const { registry, backoffs } = createParts()
-  backoffs.note('u', PAUSE_MS)
+  backoffs.note('u', BACKOFF_MS)
   registry.drop('u', 'removed')
   assert.ok(backoffs.isEmpty)
-  backoffs.note('u', PAUSE_MS)
+  backoffs.note('u', BACKOFF_MS)
   assert.ok(backoffs.isEmpty)
 })
 
-test('callers whom nobody takes return one at the end of the first pause, and the others spread over a second after its trial', () => {
+test('one caller retries at the end of the first backoff, and the others are spread over one second after its trial', () => {
   const { clock, backoffs } = createParts()
   clock.advance(1e6 / 7)
-  backoffs.note('u', PAUSE_MS)
+  backoffs.note('u', BACKOFF_MS)
   const times = Array.from({ length: 3 }, () => backoffs.scheduleReturn('r', [UPSTREAM]))
-  assert.equal(times.map(Math.round), [PAUSE_MS, PAUSE_MS + 250, PAUSE_MS + 300])
+  assert.equal(times.map(Math.round), [BACKOFF_MS, BACKOFF_MS + 250, BACKOFF_MS + 300])
   clock.advance(1000 / 3)
   const later = Array.from({ length: 100 }, () => backoffs.scheduleReturn('r', [UPSTREAM]))
-  assert.ok(later.every(time => time >= PAUSE_MS - 334 + 250 && time < PAUSE_MS - 333 + 1250))
+  assert.ok(later.every(time => time >= BACKOFF_MS - 334 + 250 && time < BACKOFF_MS - 333 + 1250))
   assert.is(Math.max(...Array.from(new Set(later.map(Math.round)), time => later.filter(other => Math.round(other) === time).length)), 5)
-  backoffs.note('u', PAUSE_MS)
-  assert.is(Math.round(backoffs.scheduleReturn('r', [UPSTREAM])), PAUSE_MS)
+  backoffs.note('u', BACKOFF_MS)
+  assert.is(Math.round(backoffs.scheduleReturn('r', [UPSTREAM])), BACKOFF_MS)
 })
 
 test.run()
--- a/src/services/limits/common/concurrencyLimiter.ts
+++ b/src/services/limits/common/concurrencyLimiter.ts
@@ -1,39 +1,40 @@
 /**
- * How many calls this gate keeps open at one upstream.
+ * Limits the calls that this gate has in flight at one upstream.
  */
 
-/** How a call went, as far as a limit cares. */
+/** The outcome of a call, as an input for the limit. */
 export type LimitSignal = 'ok' | 'slow' | 'busy' | 'failed'
 
-/** What is known of an upstream when a call asks for room. */
+/** The tracked state of an upstream when a call is to be started. */
 export interface RoomInputs {
-  /** Calls of this gate that are open now. */
+  /** Calls of this gate that are in flight. */
   readonly inFlight: number
-  /** Calls of all gates at the upstream: its report, and what is known to have changed since. */
+  /** Calls of all gates at the upstream: the number it last reported, corrected by the changes known since. */
   readonly backlog: number
-  /** The call goes before others at the upstream, which honours priorities: it need not wait for the batch to empty. */
+  /** The upstream honours priorities and will run the call before others, so it need not wait for the current batch to end. */
   readonly isPreferred?: boolean
 }
 
 export abstract class ConcurrencyLimiter {
-  /** The most calls that may be open now, whatever the others do. */
+  /** The most calls that this gate may have in flight, regardless of the other gates. */
   abstract get limit (): number
-  /** How many calls this gate may have open, given what the others seem to have. */
+  /** Returns how many calls this gate may have in flight, given the estimated calls of the other gates. */
   abstract computeRoom (inputs: RoomInputs): number
   /**
-   * This gate's part of the upstream, in calls, waiting ones included: its equal part, or more where the others leave it
-   * free. Calls over their usual time, waiting included, give the rate at which the gate is served.
+   * Returns this gate's share of the upstream's capacity, in calls, queued ones included: an equal part of it, or more if
+   * the other gates leave capacity unused. Divided by the usual duration of a call, time in the queue included, it gives the
+   * rate at which the gate's calls are served.
    */
   abstract computePart (inputs: RoomInputs): number
-  /** The part that no other gate can take away. */
+  /** The part of the capacity, in calls, that is guaranteed to this gate whatever the other gates use. */
   abstract get equalPart (): number
-  /** Takes in how a call went, with the calls that were open when it ended. */
+  /** Records the outcome of a call, and the number of calls that were in flight when it ended. */
   abstract record (signal: LimitSignal, inFlight: number): void
-  /** Takes in what the upstream can hold and how many gates share it. */
+  /** Sets the number of calls that the upstream can run at once, and the number of gates that share it. */
   abstract setShare (capacity: number, liveGates: number): void
 }
 
-/** Baseline: the upstream's configured concurrency, whatever happens. */
+/** Baseline for comparison: always the upstream's configured concurrency. */
 export class FixedLimiter extends ConcurrencyLimiter {
   private _limit = 1
 
@@ -60,37 +61,37 @@
   }
 }
 
-/** How much further an upstream is filled for calls that go before others there. */
-const PREFERRED_FILL = 1
+/** Extra calls allowed for preferred calls, as a fraction of the upstream's capacity. */
+const PREFERRED_EXTRA_RATIO = 1
 
 export interface AdaptiveLimiterOptions {
   readonly increase?: number
-  readonly busyDecrease?: number
-  readonly slowDecrease?: number
-  /** How far above its capacity an upstream may seem filled; it keeps the batch full between reports. */
+  readonly busyDecreaseFactor?: number
+  readonly slowDecreaseFactor?: number
+  /** Estimated calls allowed at an upstream, relative to its capacity. Values above 1 keep its batch full between reports. */
   readonly fill?: number
 }
 
 /**
- * A gate may use what the others leave free, as far as the reports tell, up to a limit that busy, slow and failed calls
- * shrink (additive increase, multiplicative decrease). Its equal part of a whole role is kept for it elsewhere, since a
- * part of a single upstream can be less than one call.
+ * Lets a gate use the capacity that the others leave unused according to the upstream's reports, up to a limit that busy,
+ * slow and failed calls reduce (additive increase, multiplicative decrease). The gate's equal part of the capacity of a role
+ * is guaranteed by the pool, across upstreams, since its part of a single upstream can be less than one call.
  */
 export class AdaptiveLimiter extends ConcurrencyLimiter {
   private readonly _increase: number
-  private readonly _busyDecrease: number
-  private readonly _slowDecrease: number
-  private readonly _fill: number
+  private readonly _busyDecreaseFactor: number
+  private readonly _slowDecreaseFactor: number
+  private readonly _fillFactor: number
   private _limit = 1
   private _capacity = 0
-  private _equalPart = 1
+  private _equalShare = 1
 
   constructor (options: AdaptiveLimiterOptions = {}) {
     super()
     this._increase = options.increase ?? 1
-    this._busyDecrease = options.busyDecrease ?? 0.7
-    this._slowDecrease = options.slowDecrease ?? 0.9
-    this._fill = options.fill ?? 1.5
+    this._busyDecreaseFactor = options.busyDecreaseFactor ?? 0.7
+    this._slowDecreaseFactor = options.slowDecreaseFactor ?? 0.9
+    this._fillFactor = options.fill ?? 1.5
   }
 
   get limit (): number {
@@ -98,37 +99,37 @@
   }
 
   computeRoom (inputs: RoomInputs): number {
-    const others = Math.max(0, inputs.backlog - inputs.inFlight)
-    const extra = inputs.isPreferred === true ? this._capacity * PREFERRED_FILL : 0
-    const left = Math.floor(this._capacity * this._fill + extra - others)
-    return Math.min(Math.floor(this.limit + extra), Math.max(0, left))
+    const otherCalls = Math.max(0, inputs.backlog - inputs.inFlight)
+    const preferredExtra = inputs.isPreferred === true ? this._capacity * PREFERRED_EXTRA_RATIO : 0
+    const available = Math.floor(this._capacity * this._fillFactor + preferredExtra - otherCalls)
+    return Math.min(Math.floor(this.limit + preferredExtra), Math.max(0, available))
   }
 
   computePart (inputs: RoomInputs): number {
-    const others = Math.max(0, inputs.backlog - inputs.inFlight)
-    return Math.min(this._limit, Math.max(this._equalPart, this._capacity * this._fill - others))
+    const otherCalls = Math.max(0, inputs.backlog - inputs.inFlight)
+    return Math.min(this._limit, Math.max(this._equalShare, this._capacity * this._fillFactor - otherCalls))
   }
 
   get equalPart (): number {
-    return Math.min(this._limit, this._equalPart)
+    return Math.min(this._limit, this._equalShare)
   }
 
   record (signal: LimitSignal, inFlight: number): void {
-    if (signal === 'busy') this._limit *= this._busyDecrease
-    else if (signal === 'slow' || signal === 'failed') this._limit *= this._slowDecrease
+    if (signal === 'busy') this._limit *= this._busyDecreaseFactor
+    else if (signal === 'slow' || signal === 'failed') this._limit *= this._slowDecreaseFactor
     else if (inFlight >= this.limit) this._limit += this._increase / this._limit
-    this._limit = Math.min(this._highest, Math.max(1, this._limit))
+    this._limit = Math.min(this._maxLimit, Math.max(1, this._limit))
   }
 
   setShare (capacity: number, liveGates: number): void {
-    this._equalPart = capacity * this._fill / Math.max(1, liveGates)
+    this._equalShare = capacity * this._fillFactor / Math.max(1, liveGates)
     if (capacity === this._capacity) return
     const isFirst = this._capacity === 0
     this._capacity = Math.max(1, capacity)
-    this._limit = isFirst ? this._highest : Math.min(this._limit, this._highest)
+    this._limit = isFirst ? this._maxLimit : Math.min(this._limit, this._maxLimit)
   }
 
-  private get _highest (): number {
-    return Math.max(1, this._capacity * this._fill)
+  private get _maxLimit (): number {
+    return Math.max(1, this._capacity * this._fillFactor)
   }
 }
--- a/src/services/pause/common/pauseGuard.ts
+++ b/src/services/pause/common/pauseGuard.ts
@@ -1,17 +1,17 @@
 /**
- * Notices that the process was paused, or its machine suspended. A process that wakes up late still believes what it
- * knew before, so it reads anew before it sends any new work.
+ * Detects that the process was paused or its machine suspended. The state of a process that resumes after a pause is
+ * outdated, so it must be refreshed before any new work is sent.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 
-/** How often the process should look at the clocks. */
+/** How often a process should check the clocks. */
 export const PAUSE_CHECK_PERIOD_MS = 50
 
 const DEFAULT_MAX_GAP_MS = 750
 
 export interface PauseGuardOptions {
   readonly clock: IClock
-  /** Milliseconds by the time of day, which counts what the clock of a suspended machine leaves out. */
+  /** Returns the wall time in ms, which includes time that the monotonic clock leaves out while the machine is suspended. */
   readonly getTimeOfDay: () => number
   readonly maxGapMs?: number
 }
@@ -20,60 +20,60 @@
   private readonly _clock: IClock
   private readonly _getTimeOfDay: () => number
   private readonly _maxGapMs: number
-  private _lastSeenAt: number
-  private _lastAheadMs: number
+  private _lastCheckedAt: number
+  private _lastOffsetMs: number
   private _isStale = false
-  private _pauses = 0
-  private _jumpMs = 0
+  private _pauseCount = 0
+  private _timeOfDayJumpMs = 0
 
   constructor ({ clock, getTimeOfDay, maxGapMs = DEFAULT_MAX_GAP_MS }: PauseGuardOptions) {
     this._clock = clock
     this._getTimeOfDay = getTimeOfDay
     this._maxGapMs = maxGapMs
-    this._lastSeenAt = clock.now()
-    this._lastAheadMs = getTimeOfDay() - this._lastSeenAt
+    this._lastCheckedAt = clock.now()
+    this._lastOffsetMs = getTimeOfDay() - this._lastCheckedAt
   }
 
-  /** Called by a timer, and again before anything is sent, since the timer may not have run yet after a pause. */
-  observe (): void {
+  /** To be called by a timer, and before anything is sent, since the timer may not have fired yet after a pause. */
+  checkClocks (): void {
     const now = this._clock.now()
-    const aheadMs = this._getTimeOfDay() - now
-    const jumpMs = aheadMs - this._lastAheadMs
-    if (now - this._lastSeenAt > this._maxGapMs || jumpMs > this._maxGapMs) {
+    const offsetMs = this._getTimeOfDay() - now
+    const timeOfDayJumpMs = offsetMs - this._lastOffsetMs
+    if (now - this._lastCheckedAt > this._maxGapMs || timeOfDayJumpMs > this._maxGapMs) {
       this._isStale = true
-      this._pauses++
+      this._pauseCount++
     }
-    if (jumpMs > this._maxGapMs) this._jumpMs = jumpMs
-    this._lastSeenAt = now
-    this._lastAheadMs = aheadMs
+    if (timeOfDayJumpMs > this._maxGapMs) this._timeOfDayJumpMs = timeOfDayJumpMs
+    this._lastCheckedAt = now
+    this._lastOffsetMs = offsetMs
   }
 
-  /** Whether what the process knows may be from before a pause. */
+  /** Whether the state of the process may be from before a pause. */
   get isStale (): boolean {
-    this.observe()
+    this.checkClocks()
     return this._isStale
   }
 
   get pauseCount (): number {
-    return this._pauses
+    return this._pauseCount
   }
 
   /**
-   * By how much the time of day went ahead of the clock at once, until that is settled; 0 where it did not. The machine
-   * was suspended for so long, or somebody set the time of day.
+   * By how many ms the wall time jumped ahead of the monotonic clock, until the jump is cleared; 0 if it did not. Either the
+   * machine was suspended for that long, or somebody set the time of day.
    */
-  get jumpMs (): number {
-    return this._jumpMs
+  get timeOfDayJumpMs (): number {
+    return this._timeOfDayJumpMs
   }
 
-  /** It is known which of the two it was, or cannot be found out. */
-  settleJump (): void {
-    this._jumpMs = 0
-    this._lastSeenAt = this._clock.now()
-    this._lastAheadMs = this._getTimeOfDay() - this._lastSeenAt
+  /** To be called when the cause of the jump is known or cannot be determined. */
+  clearTimeOfDayJump (): void {
+    this._timeOfDayJumpMs = 0
+    this._lastCheckedAt = this._clock.now()
+    this._lastOffsetMs = this._getTimeOfDay() - this._lastCheckedAt
   }
 
-  /** What the process knows was read anew. */
+  /** To be called when the state of the process has been refreshed. */
   markRefreshed (): void {
     this._isStale = false
   }
--- a/src/services/pause/common/peerClocks.ts
+++ b/src/services/pause/common/peerClocks.ts
@@ -1,21 +1,21 @@
 /**
- * How far the clocks of peers are ahead of this process's. The difference stays the same for as long as neither machine
- * is suspended, whatever anybody does to the time of day.
+ * Offsets of the monotonic clocks of peers from the clock of this process. An offset stays constant as long as neither
+ * machine is suspended, even if the time of day is set.
  */
 
 export class PeerClocks {
-  private readonly _aheadMs = new Map<string, number>()
+  private readonly _offsetsMs = new Map<string, number>()
 
-  /** Takes in a peer's clock; resolves to how much further ahead it is than at the last time, 0 at the first. */
+  /** Returns by how many ms a peer's clock has gained on this one since the previous call for the peer; 0 for the first call. */
   compare (peer: string, peerAt: number, now: number): number {
-    const aheadMs = peerAt - now
-    const gainMs = aheadMs - (this._aheadMs.get(peer) ?? aheadMs)
-    this._aheadMs.set(peer, aheadMs)
+    const offsetMs = peerAt - now
+    const gainMs = offsetMs - (this._offsetsMs.get(peer) ?? offsetMs)
+    this._offsetsMs.set(peer, offsetMs)
     return gainMs
   }
 
-  /** A peer that is gone is another process when it comes back. */
+  /** To be called when a peer is gone: if it comes back, it is another process with another clock. */
   forget (peer: string): void {
-    this._aheadMs.delete(peer)
+    this._offsetsMs.delete(peer)
   }
 }
--- a/src/services/pause/node/pauseRecovery.ts
+++ b/src/services/pause/node/pauseRecovery.ts
@@ -1,7 +1,7 @@
 /**
- * Brings a process up to date after a pause, or after its machine was suspended. Whether it was suspended, or only the
- * time of day was set, is told by peers: their clocks went on. Only then does this process's clock follow, so that
- * everything that it knows is as old as it really is, and no caller is waited for who has left.
+ * Refreshes the state of a process after a pause, or after its machine was suspended. A suspension is distinguished from a
+ * change of the time of day by the clocks of peers, which continued to run. Only after a suspension is this process's clock
+ * advanced, so that the age of its state is correct and requests whose callers have left time out.
  */
 import type { ISuspendableClock } from '../../../base/common/clock.ts'
 import { Disposable } from '../../../base/common/disposable.ts'
@@ -14,14 +14,14 @@
   readonly clock: ISuspendableClock
   readonly log: ILogService
   readonly guard: PauseGuard
-  /** Has some peers say what their clocks show; resolves when they have, or do not answer. */
+  /** Queries the clocks of some peers; resolves when they have answered or failed to do so. */
   readonly comparePeers: () => Promise<unknown>
-  /** Resolves when what may have changed meanwhile was read, or could not be in time. */
+  /** Reads the state that may have changed during the pause; resolves when this is done or has timed out. */
   readonly readAnew: () => Promise<unknown>
 }
 
-/** What the way of a message adds to the difference of two clocks, when hosts are busy. */
-const TOLERANCE_MS = 500
+/** Message delay on busy hosts may change the measured offset of two clocks by this much. */
+const CLOCK_TOLERANCE_MS = 500
 
 export class PauseRecovery extends Disposable {
   private readonly _options: PauseRecoveryOptions
@@ -33,37 +33,37 @@
   }
 
   start (): void {
-    this._register(startInterval(PAUSE_CHECK_PERIOD_MS, () => this.observe()))
+    this._register(startInterval(PAUSE_CHECK_PERIOD_MS, () => this.checkForPause()))
   }
 
-  /** A peer's clock has gained on this one since the last time; it may be the first sign of a suspension. */
+  /** Records that a peer's clock has gained on this one. This may be the first sign that this machine was suspended. */
   noteGain (gainMs: number): void {
     const { clock, guard, log } = this._options
-    if (gainMs < TOLERANCE_MS) return
-    guard.observe()
-    const { jumpMs } = guard
-    if (jumpMs === 0 || Math.abs(gainMs - jumpMs) > TOLERANCE_MS) return
-    clock.addSuspended(jumpMs)
-    guard.settleJump()
-    log.warn('suspended', { for_ms: Math.round(jumpMs), peer_gain_ms: Math.round(gainMs) })
-    this.observe()
+    if (gainMs < CLOCK_TOLERANCE_MS) return
+    guard.checkClocks()
+    const { timeOfDayJumpMs } = guard
+    if (timeOfDayJumpMs === 0 || Math.abs(gainMs - timeOfDayJumpMs) > CLOCK_TOLERANCE_MS) return
+    clock.addSuspended(timeOfDayJumpMs)
+    guard.clearTimeOfDayJump()
+    log.warn('suspended', { for_ms: Math.round(timeOfDayJumpMs), peer_gain_ms: Math.round(gainMs) })
+    this.checkForPause()
   }
 
-  /** Begins to recover where there was a pause. */
-  observe (): void {
+  /** Starts the recovery if a pause was detected. */
+  checkForPause (): void {
     const { guard, log } = this._options
     if (!guard.isStale || this._isRecovering) return
     this._isRecovering = true
-    log.warn('paused', { pauses: guard.pauseCount, time_of_day_jump_ms: Math.round(guard.jumpMs) })
-    void this._catchUp()
+    log.warn('paused', { pauses: guard.pauseCount, time_of_day_jump_ms: Math.round(guard.timeOfDayJumpMs) })
+    void this._completeRecovery()
   }
 
-  private async _catchUp (): Promise<void> {
+  private async _completeRecovery (): Promise<void> {
     const { guard, log, comparePeers, readAnew } = this._options
-    await Promise.all([guard.jumpMs > 0 ? comparePeers() : undefined, readAnew()])
-    if (guard.jumpMs > 0) {
-      log.info('time_of_day_set', { ahead_ms: Math.round(guard.jumpMs) })
-      guard.settleJump()
+    await Promise.all([guard.timeOfDayJumpMs > 0 ? comparePeers() : undefined, readAnew()])
+    if (guard.timeOfDayJumpMs > 0) {
+      log.info('time_of_day_set', { ahead_ms: Math.round(guard.timeOfDayJumpMs) })
+      guard.clearTimeOfDayJump()
     }
     this._isRecovering = false
     guard.markRefreshed()
--- a/src/services/pause/test/pauseGuard.test.ts
+++ b/src/services/pause/test/pauseGuard.test.ts
@@ -3,70 +3,70 @@
 import { VirtualClock } from '../../../base/common/clock.ts'
 import { PauseGuard } from '../common/pauseGuard.ts'
 
-const test = suite('pauseGuard')
+const test = suite('pauseDetector')
 
-test('a gap is seen by whoever looks first, and stays until the view was read anew', () => {
+test('a gap is detected by the first check, and the state is stale until it is refreshed', () => {
   const clock = new VirtualClock()
-  const guard = new PauseGuard({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
+  const detector = new PauseGuard({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
   clock.advance(400)
-  assert.not(guard.isStale)
+  assert.not(detector.isStale)
   clock.advance(501)
-  assert.ok(guard.isStale)
+  assert.ok(detector.isStale)
   clock.advance(10)
-  guard.observe()
-  assert.ok(guard.isStale)
-  guard.markRefreshed()
-  assert.not(guard.isStale)
-  assert.is(guard.pauseCount, 1)
+  detector.checkClocks()
+  assert.ok(detector.isStale)
+  detector.markRefreshed()
+  assert.not(detector.isStale)
+  assert.is(detector.pauseCount, 1)
 })
 
-test('a pause during the reading is seen as well', () => {
+test('a pause during the refresh is detected as well', () => {
   const clock = new VirtualClock()
-  const guard = new PauseGuard({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
+  const detector = new PauseGuard({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
   clock.advance(600)
-  guard.observe()
+  detector.checkClocks()
   clock.advance(600)
-  guard.markRefreshed()
-  assert.ok(guard.isStale)
+  detector.markRefreshed()
+  assert.ok(detector.isStale)
 })
 
-/** The clocks of a machine: a suspension moves one of them, and so does whoever sets the time of day. */
+/** The clocks of a machine. A suspension advances only the wall time, and so does setting the time of day. */
 class MachineClocks {
-  readonly steady = new VirtualClock()
-  private _aheadMs = 1_700_000_000_000
+  readonly monotonic = new VirtualClock()
+  private _offsetMs = 1_700_000_000_000
 
-  readonly getTimeOfDay = () => this.steady.now() + this._aheadMs
+  readonly getTimeOfDay = () => this.monotonic.now() + this._offsetMs
 
-  addAhead (ms: number): void {
-    this._aheadMs += ms
+  addOffset (ms: number): void {
+    this._offsetMs += ms
   }
 }
 
-// A machine was suspended for seconds and went on with what it had believed before: upstreams that had left meanwhile,
-// answers that nobody waited for any more. The clock that it measures pauses by had not moved at all.
-test('a suspension that the steady clock leaves out is a pause', () => {
+// Guards against a process that continues with outdated state after its machine was suspended for seconds: it used
+// upstreams that had left and sent answers that nobody waited for. Its monotonic clock does not advance in that time.
+test('a suspension that the monotonic clock leaves out is detected as a pause', () => {
   const clocks = new MachineClocks()
-  const guard = new PauseGuard({ clock: clocks.steady, getTimeOfDay: clocks.getTimeOfDay })
-  clocks.steady.advance(50)
-  assert.not(guard.isStale)
-  clocks.addAhead(5000)
-  assert.ok(guard.isStale)
-  guard.markRefreshed()
-  clocks.steady.advance(50)
-  assert.not(guard.isStale)
-  assert.is(guard.pauseCount, 1)
+  const detector = new PauseGuard({ clock: clocks.monotonic, getTimeOfDay: clocks.getTimeOfDay })
+  clocks.monotonic.advance(50)
+  assert.not(detector.isStale)
+  clocks.addOffset(5000)
+  assert.ok(detector.isStale)
+  detector.markRefreshed()
+  clocks.monotonic.advance(50)
+  assert.not(detector.isStale)
+  assert.is(detector.pauseCount, 1)
 })
 
-test('a time of day that drifts, or is set back, is none', () => {
+test('a time of day that drifts or is set back is not a pause', () => {
   const clocks = new MachineClocks()
-  const guard = new PauseGuard({ clock: clocks.steady, getTimeOfDay: clocks.getTimeOfDay })
+  const detector = new PauseGuard({ clock: clocks.monotonic, getTimeOfDay: clocks.getTimeOfDay })
   for (let second = 0; second < 100; second++) {
-    clocks.steady.advance(50)
-    clocks.addAhead(20)
-    assert.not(guard.isStale)
+    clocks.monotonic.advance(50)
+    clocks.addOffset(20)
+    assert.not(detector.isStale)
   }
-  clocks.addAhead(-3000)
-  assert.not(guard.isStale)
+  clocks.addOffset(-3000)
+  assert.not(detector.isStale)
 })
 
 test.run()
--- a/src/services/pause/test/pauseRecovery.test.ts
+++ b/src/services/pause/test/pauseRecovery.test.ts
@@ -8,7 +8,7 @@
 
 const test = suite('pauseRecovery')
 
-/** A process and a peer on another machine, whose clock began at another moment. */
+/** A process and a peer on another machine, whose clock started at another time. */
 class Machines {
   readonly own = new VirtualClock(1000)
   readonly peer = new VirtualClock(70_000)
@@ -16,7 +16,7 @@
   readCount = 0
   private readonly _clocks = new PeerClocks()
   private _timeOfDay = 0
-  readonly guard = new PauseGuard({ clock: this.own, getTimeOfDay: () => this.own.now() + this._timeOfDay })
+  readonly detector = new PauseGuard({ clock: this.own, getTimeOfDay: () => this.own.now() + this._timeOfDay })
   readonly recovery: PauseRecovery
 
   constructor () {
@@ -25,7 +25,7 @@
     this.recovery = new PauseRecovery({
       clock: this.own,
       log,
-      guard: this.guard,
+      guard: this.detector,
       comparePeers: () => Promise.resolve(this.comparePeer()),
       readAnew: () => { this.readCount++; return Promise.resolve() }
     })
@@ -42,11 +42,11 @@
     this.peer.advance(ms)
   }
 
-  /** This machine stands still for a while, and its steady clock with it. */
+  /** Suspends this machine for a while, which also stops its monotonic clock. */
   addSuspension (ms: number): void {
     this.peer.advance(ms)
     this._timeOfDay += ms
-    // The clock takes the time in by and by, and the time of day has it already.
+    // The wall time includes the suspension already, so what is added to the monotonic clock is subtracted from the offset.
     const before = this.own.now()
     this.own.addSuspended = added => {
       this.own.advance(added)
@@ -59,46 +59,46 @@
   }
 }
 
-test('after a suspension the clock follows, and work is taken once all was read anew', async () => {
+test('after a suspension the clock is advanced, and the state is current once it was refreshed', async () => {
   const machines = new Machines()
   machines.advance(50)
   const before = machines.own.now()
   machines.addSuspension(5000)
-  machines.recovery.observe()
-  assert.ok(machines.guard.isStale)
+  machines.recovery.checkForPause()
+  assert.ok(machines.detector.isStale)
   await new Promise(resolve => { setImmediate(resolve) })
   assert.is(machines.own.now(), before + 5000)
-  assert.not(machines.guard.isStale)
+  assert.not(machines.detector.isStale)
   assert.is(machines.readCount, 1)
   assert.equal(machines.lines, ['paused pauses=1 time_of_day_jump_ms=5000', 'suspended for_ms=5000 peer_gain_ms=5000'])
 })
 
-test('a peer\'s word may come before this process has looked', async () => {
+test('a peer\'s clock may be received before this process has detected the pause', async () => {
   const machines = new Machines()
   machines.addSuspension(3000)
   machines.comparePeer()
   assert.is(machines.own.now(), 4000)
   await new Promise(resolve => { setImmediate(resolve) })
-  assert.not(machines.guard.isStale)
+  assert.not(machines.detector.isStale)
   assert.is(machines.readCount, 1)
 })
 
-test('where only the time of day was set, all is read anew and the clock stays', async () => {
+test('if only the time of day was set, the state is refreshed and the clock is not advanced', async () => {
   const machines = new Machines()
   machines.setTimeOfDay(2000)
-  machines.recovery.observe()
+  machines.recovery.checkForPause()
   await new Promise(resolve => { setImmediate(resolve) })
   assert.is(machines.own.now(), 1000)
-  assert.not(machines.guard.isStale)
+  assert.not(machines.detector.isStale)
   assert.equal(machines.lines, ['paused pauses=1 time_of_day_jump_ms=2000', 'time_of_day_set ahead_ms=2000'])
 })
 
-test('a peer that was suspended itself, and follows its own clock, changes nothing here', () => {
+test('a peer that was suspended itself and advanced its clock has no effect on this process', () => {
   const machines = new Machines()
   machines.peer.advance(5000)
   machines.comparePeer()
   assert.is(machines.own.now(), 1000)
-  assert.not(machines.guard.isStale)
+  assert.not(machines.detector.isStale)
 })
 
 test.run()
--- a/src/services/quota/common/limitSource.ts
+++ b/src/services/quota/common/limitSource.ts
@@ -1,49 +1,52 @@
 /**
- * Why an upstream may get only so many requests a second from all nodes together.
+ * Sources of the rate limits that apply to an upstream across all nodes.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { RateLimit } from './tokenBucket.ts'
 
 export abstract class LimitSource {
-  /** Undefined where the upstream accepts any number. */
+  /** Returns undefined if the source sets no limit for the upstream. */
   abstract find (entry: UpstreamEntry): RateLimit | undefined
 }
 
-/** An upstream that is limited to less gets a request now and then, or it could not take its word back. */
-const MIN_PER_S = 0.25
-/** With a burst, requests that come unevenly use up the rate. */
-const STATED_BURST = 1.5
-const STATED_BURST_S = 0.5
+/**
+ * Lower limit for stated rates. An upstream announces a new limit only in its answers, so one that stated 0 must still
+ * receive a request from time to time to be able to raise it.
+ */
+const MIN_REQUESTS_PER_S = 0.25
+/** The burst lets requests that arrive unevenly use the full rate: the base plus this many seconds' worth of the rate. */
+const BASE_BURST = 1.5
+const BURST_WINDOW_S = 0.5
 
-/** The upstream says so itself. */
+/** Limits that upstreams state in their answers. */
 export class StatedLimits extends LimitSource {
-  constructor (private readonly _findStated: (upstream: string) => number | undefined) {
+  constructor (private readonly _findStatedPerS: (upstream: string) => number | undefined) {
     super()
   }
 
   find ({ id }: UpstreamEntry): RateLimit | undefined {
-    const stated = this._findStated(id)
-    return stated === undefined ? undefined : { perS: Math.max(MIN_PER_S, stated), burst: STATED_BURST + stated * STATED_BURST_S }
+    const statedPerS = this._findStatedPerS(id)
+    return statedPerS === undefined ? undefined : { perS: Math.max(MIN_REQUESTS_PER_S, statedPerS), burst: BASE_BURST + statedPerS * BURST_WINDOW_S }
   }
 }
 
 export interface ColdLimitsOptions {
   readonly clock: IClock
-  /** What one cold upstream of a role may get in any second from all nodes together; Infinity where nothing bounds it. */
+  /** The most requests that one cold upstream of a role may receive in any second from all nodes; Infinity for no limit. */
   readonly getBound: (role: string) => number
-  /** All nodes that are known to this one, those included that cannot be reached. */
+  /** Counts the nodes known to this one, including those that cannot be reached. */
   readonly countKnown: () => number
   readonly countLive: () => number
 }
 
-/** What is sent within this time may arrive within a second: a connection that is slow to open holds some of it up. */
+/** Requests sent within this span may arrive within one second, because slow connection setup delays some of them. */
 const ARRIVAL_WINDOW_S = 1.4
-/** Two nodes may take themselves for the owner of a quota for a moment; together they keep the bound. */
+/** Two nodes may briefly both act as owner of a quota; with less than half of the limit each, they stay within it together. */
 const OWNER_SHARE = 0.45
-const COLD_BURST = 2
+const MAX_COLD_BURST = 2
 
-/** The upstream has just started, or its caches are empty, and it collapses under more. */
+/** Limits for upstreams that have just started or have empty caches, which would be overloaded by more requests. */
 export class ColdLimits extends LimitSource {
   private readonly _options: ColdLimitsOptions
 
@@ -55,17 +58,18 @@
   find ({ coldUntil = 0, role }: UpstreamEntry): RateLimit | undefined {
     const { clock, getBound, countKnown, countLive } = this._options
     if (coldUntil <= clock.now()) return undefined
-    const bound = getBound(role)
-    if (!Number.isFinite(bound)) return undefined
-    // Parts of a fleet that cannot reach each other have an owner each, which gives out what its part is of the whole.
-    const reach = Math.min(1, countLive() / Math.max(1, countKnown()))
-    const inWindow = bound * OWNER_SHARE * reach
-    const burst = Math.min(COLD_BURST, inWindow)
-    return { burst, perS: (inWindow - burst) / ARRIVAL_WINDOW_S, until: coldUntil }
+    const maxPerS = getBound(role)
+    if (!Number.isFinite(maxPerS)) return undefined
+    // In a network partition, each side has its own owner. An owner grants only the fraction of the limit that corresponds
+    // to the fraction of nodes on its side.
+    const reachableRatio = Math.min(1, countLive() / Math.max(1, countKnown()))
+    const maxInWindow = maxPerS * OWNER_SHARE * reachableRatio
+    const burst = Math.min(MAX_COLD_BURST, maxInWindow)
+    return { burst, perS: (maxInWindow - burst) / ARRIVAL_WINDOW_S, until: coldUntil }
   }
 }
 
-/** The tightest of several limits. */
+/** Combines several sources: the lowest rate and the smallest burst apply. */
 export class AllLimits extends LimitSource {
   constructor (private readonly _sources: readonly LimitSource[]) {
     super()
--- a/src/services/quota/common/quota.ts
+++ b/src/services/quota/common/quota.ts
@@ -1,15 +1,18 @@
 /**
- * What the relay and preparation ask before they send anything to an upstream.
+ * Admission check that the relay and preparation make before they send anything to a rate-limited upstream.
  */
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 
 export interface IQuotaService {
-  /** Whether the upstream accepts only so many requests a second from all nodes together. */
+  /** Returns whether a rate limit across all nodes applies to the upstream. */
   isLimited (entry: UpstreamEntry): boolean
-  /** How long it makes no sense to ask for the upstream, in milliseconds; 0 where a request may go now, or may be asked for. */
+  /** Returns the time in ms until the quota may be requested again after a denial; 0 if there is no limit or no recent denial. */
   getWaitMs (entry: UpstreamEntry): number
-  /** Whether one request may go to the upstream now; the node that counts them is asked where it is limited. The log names the request. */
+  /**
+   * Resolves to whether one request may be sent to the upstream now. Where a limit applies, the quota's owner decides,
+   * which may be another node. The request's ID is only for the log.
+   */
   acquire (entry: UpstreamEntry, request: string): Promise<boolean>
-  /** When a caller should return whom none of these upstreams accepts, in milliseconds. */
+  /** Returns the delay in ms after which a caller should retry when none of these upstreams accepts its request. */
   scheduleReturn (role: string, entries: readonly UpstreamEntry[]): number
 }
--- a/src/services/quota/common/quotaOwner.ts
+++ b/src/services/quota/common/quotaOwner.ts
@@ -1,7 +1,7 @@
 /**
- * Gives out the requests that limited upstreams accept. All nodes ask the same one for the upstreams of a hall, so that
- * requests are counted in one place. Nodes that know different members may ask two of them; each gives out only what it
- * takes itself for the owner of, and begins to do so when the one before it has surely ended.
+ * Grants requests to rate-limited upstreams. All nodes ask the same node about the upstreams of a hall, so that requests
+ * are counted in one place. Nodes with different views of the membership may ask two different nodes; each grants requests
+ * only for halls that it regards as its own, and only once the requests granted by the previous owner have arrived.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
@@ -12,49 +12,49 @@
 export interface QuotaOwnerOptions {
   readonly clock: IClock
   readonly limits: LimitSource
-  /** Whether this node gives out the requests of a hall's upstreams, as far as it knows. */
+  /** Returns whether this node owns the quotas of a hall's upstreams, according to its current view of the membership. */
   readonly isOwner: (hall: string) => boolean
-  /** How long after it became the owner a node gives out the first request. */
+  /** How long a new owner waits before it grants the first request. */
   readonly settleMs?: number
 }
 
-/** What became of the wish to send a request. */
+/** The owner's answer to one query. */
 export interface QuotaGrant {
   readonly isGranted: boolean
-  /** When it makes sense to ask again, in milliseconds. */
+  /** Delay in ms before the next query makes sense. */
   readonly retryInMs: number
 }
 
 export const GRANTED: QuotaGrant = { isGranted: true, retryInMs: 0 }
-/** What the owner before granted has arrived within this time. */
-const DEFAULT_SETTLE_MS = 1400
-/** Another node is the owner, or this one will be soon. */
+/** Requests granted by the previous owner have arrived at the upstream within this time. */
+const DEFAULT_TAKEOVER_DELAY_MS = 1400
+/** Another node owns the quota, or this node is about to become the owner. */
 const NOT_OWNER_RETRY_MS = 200
 
 export class QuotaOwner {
   private readonly _options: QuotaOwnerOptions
-  private readonly _settleMs: number
+  private readonly _takeoverDelayMs: number
   private readonly _ownedSince = new Map<string, number>()
   private readonly _buckets = new Map<string, { readonly hall: string, readonly bucket: TokenBucket }>()
   private _deniedCount = 0
 
   constructor (options: QuotaOwnerOptions) {
     this._options = options
-    this._settleMs = options.settleMs ?? DEFAULT_SETTLE_MS
+    this._takeoverDelayMs = options.settleMs ?? DEFAULT_TAKEOVER_DELAY_MS
   }
 
-  /** Requests that were not granted since the start. */
+  /** Requests denied since the process started. */
   get deniedCount (): number {
     return this._deniedCount
   }
 
-  /** Takes in which node owns the halls now. */
+  /** Updates which of the halls this node owns. */
   refresh (halls: Iterable<string>): void {
     const now = this._options.clock.now()
-    for (const hall of halls) this._refreshHall(hall, now)
+    for (const hall of halls) this._updateOwnership(hall, now)
   }
 
-  /** What is known of former owners may be from long ago. */
+  /** Drops all ownership state. To be called after a pause of this process, during which other nodes may have become owners. */
   forgetOwned (): void {
     this._ownedSince.clear()
     this._buckets.clear()
@@ -67,38 +67,38 @@
       this._buckets.delete(entry.id)
       return GRANTED
     }
-    const ownedSince = this._refreshHall(entry.hall, now)
-    if (ownedSince === undefined) return this._refuse(NOT_OWNER_RETRY_MS)
-    if (now - ownedSince < this._settleMs) return this._refuse(this._settleMs - (now - ownedSince))
+    const ownedSince = this._updateOwnership(entry.hall, now)
+    if (ownedSince === undefined) return this._deny(NOT_OWNER_RETRY_MS)
+    if (now - ownedSince < this._takeoverDelayMs) return this._deny(this._takeoverDelayMs - (now - ownedSince))
     const bucket = this._getBucket(entry, limit, now)
-    return bucket.take(now) ? GRANTED : this._refuse(bucket.getWaitMs(now))
+    return bucket.take(now) ? GRANTED : this._deny(bucket.getWaitMs(now))
   }
 
-  drop (upstream: string): void {
+  removeUpstream (upstream: string): void {
     this._buckets.delete(upstream)
   }
 
-  private _refuse (retryInMs: number): QuotaGrant {
+  private _deny (retryInMs: number): QuotaGrant {
     this._deniedCount++
     return { isGranted: false, retryInMs }
   }
 
-  /** Since when this node owns the hall; undefined where another one does. */
-  private _refreshHall (hall: string, now: number): number | undefined {
+  /** Returns since when this node has owned the hall, or undefined if another node owns it. */
+  private _updateOwnership (hall: string, now: number): number | undefined {
     if (!this._options.isOwner(hall)) {
-      if (this._ownedSince.delete(hall)) for (const [id, held] of this._buckets) if (held.hall === hall) this._buckets.delete(id)
+      if (this._ownedSince.delete(hall)) for (const [id, entry] of this._buckets) if (entry.hall === hall) this._buckets.delete(id)
       return undefined
     }
-    const since = this._ownedSince.get(hall) ?? now
-    this._ownedSince.set(hall, since)
-    return since
+    const ownedSince = this._ownedSince.get(hall) ?? now
+    this._ownedSince.set(hall, ownedSince)
+    return ownedSince
   }
 
   private _getBucket ({ id, hall }: UpstreamEntry, limit: RateLimit, now: number): TokenBucket {
-    const held = this._buckets.get(id)
-    if (held !== undefined) {
-      held.bucket.setLimit(limit, now)
-      return held.bucket
+    const existing = this._buckets.get(id)
+    if (existing !== undefined) {
+      existing.bucket.setLimit(limit, now)
+      return existing.bucket
     }
     const bucket = new TokenBucket(limit, now)
     this._buckets.set(id, { hall, bucket })
--- a/src/services/quota/common/rateLimitBook.ts
+++ b/src/services/quota/common/rateLimitBook.ts
@@ -1,41 +1,41 @@
 /**
- * The rate limits that upstreams state, as far as they are known: for each boot the latest statement, whoever heard it.
- * Statements may arrive twice, late and out of order; the moment at which an answer brought one decides.
+ * The latest rate limit that each upstream instance has stated, whichever node received it. Statements may arrive more than
+ * once, late and out of order; the one whose answer was received last applies.
  */
-export interface HeardRate {
+export interface ObservedRateLimit {
   readonly upstream: string
-  /** Requests per second; undefined where the upstream accepts any number. */
+  /** Requests per second; undefined if there is no limit. */
   readonly perS: number | undefined
-  /** On the process's clock, in milliseconds. */
-  readonly heardAt: number
+  /** When the answer was received, in ms on this process's clock. */
+  readonly observedAt: number
 }
 
-/** Boots that are remembered, the oldest forgotten first. */
-const MAX_REMEMBERED = 2000
+/** Upstream instances that are tracked; the oldest entry is evicted first. */
+const MAX_TRACKED_UPSTREAMS = 2000
 
-export class RateLimitBook {
-  private readonly _heard = new Map<string, HeardRate>()
+export class RateLimitTable {
+  private readonly _latest = new Map<string, ObservedRateLimit>()
 
-  /** Takes a statement in; false where a later one of the boot is known. */
-  note (heard: HeardRate): boolean {
-    const held = this._heard.get(heard.upstream)
-    if (held !== undefined && heard.heardAt < held.heardAt) return false
-    this._heard.set(heard.upstream, heard)
-    if (this._heard.size > MAX_REMEMBERED) for (const oldest of [...this._heard.keys()].slice(0, 1)) this._heard.delete(oldest)
+  /** Returns false if a later statement of the same upstream is known already. */
+  record (observed: ObservedRateLimit): boolean {
+    const previous = this._latest.get(observed.upstream)
+    if (previous !== undefined && observed.observedAt < previous.observedAt) return false
+    this._latest.set(observed.upstream, observed)
+    if (this._latest.size > MAX_TRACKED_UPSTREAMS) for (const oldest of [...this._latest.keys()].slice(0, 1)) this._latest.delete(oldest)
     return true
   }
 
-  get (upstream: string): HeardRate | undefined {
-    return this._heard.get(upstream)
+  get (upstream: string): ObservedRateLimit | undefined {
+    return this._latest.get(upstream)
   }
 
-  /** Requests per second; undefined where no limit is known. */
+  /** Returns the limit in requests per second, or undefined if none is known. */
   findLimit (upstream: string): number | undefined {
-    return this._heard.get(upstream)?.perS
+    return this._latest.get(upstream)?.perS
   }
 
-  /** The limits in force. */
-  listLimits (): readonly HeardRate[] {
-    return [...this._heard.values()].filter(({ perS }) => perS !== undefined)
+  /** Lists the limits in force, without the upstreams that stated that they have none. */
+  listLimits (): readonly ObservedRateLimit[] {
+    return [...this._latest.values()].filter(({ perS }) => perS !== undefined)
   }
 }
--- a/src/services/quota/common/returnSchedule.ts
+++ b/src/services/quota/common/returnSchedule.ts
@@ -1,33 +1,33 @@
 /**
- * When callers may return whose requests no upstream accepts now. Each gets a time of its own, at the rate at which
- * requests are accepted: callers that return together would find room for one.
+ * Computes retry delays for callers whose requests no upstream accepts because of rate limits. Each caller gets its own
+ * time, spaced at the rate at which requests are accepted: of callers that retried together, only one would be accepted.
  */
-export interface ReturnTerms {
+export interface RetryAfterTerms {
   readonly role: string
-  /** Until one of the role's upstreams accepts a request, in milliseconds. */
-  readonly soonestMs: number
-  /** Requests per second that this node's callers can expect to be accepted. */
+  /** Time in ms until one of the role's upstreams accepts a request. */
+  readonly earliestMs: number
+  /** Requests per second that the upstreams are expected to accept from this node. */
   readonly perS: number
-  /** Until one of the role's upstreams has no limit any more, in milliseconds; Infinity where that is not known. */
-  readonly endsInMs: number
+  /** Time in ms until the limit of one of the role's upstreams ends; Infinity if unknown. */
+  readonly limitEndsInMs: number
 }
 
 const MS_PER_S = 1000
-/** Limits change sooner than this. */
-const MAX_RETURN_MS = 10_000
-const MIN_RETURN_MS = 50
+/** Limits are expected to change within this time. */
+const MAX_RETRY_AFTER_MS = 10_000
+const MIN_RETRY_AFTER_MS = 50
 
-export class ReturnSchedule {
-  private readonly _lastAt = new Map<string, number>()
+export class RetryAfterSchedule {
+  private readonly _lastAssignedAt = new Map<string, number>()
 
-  /** Milliseconds from now. */
-  schedule ({ role, soonestMs, perS, endsInMs }: ReturnTerms, now: number): number {
-    const intervalMs = perS > 0 ? MS_PER_S / perS : MAX_RETURN_MS
-    const nextAt = Math.max(now + soonestMs, (this._lastAt.get(role) ?? -Infinity) + intervalMs)
-    // Whoever comes after the end of a limit is accepted, however many there are.
-    if (endsInMs <= nextAt - now) return Math.max(MIN_RETURN_MS, endsInMs)
-    const at = Math.min(now + MAX_RETURN_MS, Math.max(now + MIN_RETURN_MS, nextAt))
-    this._lastAt.set(role, at)
+  /** Returns the delay in ms. */
+  schedule ({ role, earliestMs, perS, limitEndsInMs }: RetryAfterTerms, now: number): number {
+    const intervalMs = perS > 0 ? MS_PER_S / perS : MAX_RETRY_AFTER_MS
+    const nextAt = Math.max(now + earliestMs, (this._lastAssignedAt.get(role) ?? -Infinity) + intervalMs)
+    // Once a limit has ended, the upstream accepts any number of requests, so callers need not be spaced out.
+    if (limitEndsInMs <= nextAt - now) return Math.max(MIN_RETRY_AFTER_MS, limitEndsInMs)
+    const at = Math.min(now + MAX_RETRY_AFTER_MS, Math.max(now + MIN_RETRY_AFTER_MS, nextAt))
+    this._lastAssignedAt.set(role, at)
     return at - now
   }
 }
--- a/src/services/quota/node/limitedPieces.ts
+++ b/src/services/quota/node/limitedPieces.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to upstreams that make pieces, as far as these accept them.
+ * Decorates calls to upstreams that compute pieces: each call first acquires the upstream's quota.
  */
 import { PieceProtocol } from '../../preparation/common/pieceProtocol.ts'
 import type { FreeTerms, PieceCallTerms } from '../../preparation/common/pieceProtocol.ts'
@@ -8,18 +8,18 @@
 import type { IQuotaService } from '../common/quota.ts'
 
 export class LimitedPieces extends PieceProtocol {
-  constructor (private readonly _pieces: PieceProtocol, private readonly _quota: IQuotaService) {
+  constructor (private readonly _inner: PieceProtocol, private readonly _quota: IQuotaService) {
     super()
-    _pieces.onDidState(stated => this._onDidState.fire(stated))
+    _inner.onDidState(stated => this._onDidState.fire(stated))
   }
 
   async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallTerms): Promise<PieceCallOutcome> {
-    if (await this._quota.acquire(upstream, pieces[0]?.jobId ?? '')) return await this._pieces.runPieces(upstream, pieces, terms)
+    if (await this._quota.acquire(upstream, pieces[0]?.jobId ?? '')) return await this._inner.runPieces(upstream, pieces, terms)
     return { kind: 'notRun', reason: 'limited', retryInMs: this._quota.getWaitMs(upstream) }
   }
 
-  /** What is not given back goes when its lifetime ends. */
+  /** A call that is denied is not repeated: upstreams remove results by themselves when their lifetime ends. */
   async freeResults (upstream: UpstreamEntry, handles: readonly string[], terms?: FreeTerms): Promise<boolean> {
-    return await this._quota.acquire(upstream, '') && await this._pieces.freeResults(upstream, handles, terms)
+    return await this._quota.acquire(upstream, '') && await this._inner.freeResults(upstream, handles, terms)
   }
 }
--- a/src/services/quota/node/limitsHandler.ts
+++ b/src/services/quota/node/limitsHandler.ts
@@ -1,18 +1,18 @@
 /**
- * Lets operators see which upstreams accept only so many requests, as this node knows it.
+ * Operator endpoint that lists the rate limits known to this node.
  */
 import type { OperatorHandler } from '../../metrics/node/metricsServer.ts'
 import type { RateLimitService } from './rateLimitService.ts'
 
 export const LIMITS_PATH = '/limits'
 
-/** GET lists the limits that upstreams state, with the age of what is known. */
-export function createLimitsHandler (stated: RateLimitService): OperatorHandler {
+/** GET returns the limits that upstreams have stated, with the age of each statement. */
+export function createLimitsHandler (rateLimits: RateLimitService): OperatorHandler {
   return {
     path: LIMITS_PATH,
     answer: (method, rest) => {
       if (method !== 'GET' || rest !== '') return undefined
-      return stated.listLimits().map(({ upstream, perS, ageMs }) => ({ upstream, per_s: perS, age_ms: ageMs }))
+      return rateLimits.listLimits().map(({ upstream, perS, ageMs }) => ({ upstream, per_s: perS, age_ms: ageMs }))
     }
   }
 }
--- a/src/services/quota/node/quotaService.ts
+++ b/src/services/quota/node/quotaService.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the owner of an upstream's quota, on whatever node it is, before a request goes to a limited upstream.
+ * Acquires quota for requests to rate-limited upstreams from the quota's owner, on this node or another one.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { Disposable } from '../../../base/common/disposable.ts'
@@ -9,7 +9,7 @@
 import type { LimitSource } from '../common/limitSource.ts'
 import type { IQuotaService } from '../common/quota.ts'
 import type { QuotaGrant, QuotaOwner } from '../common/quotaOwner.ts'
-import { ReturnSchedule } from '../common/returnSchedule.ts'
+import { RetryAfterSchedule } from '../common/returnSchedule.ts'
 import type { ToldLimit } from '../common/toldLimits.ts'
 
 export interface QuotaServiceOptions {
@@ -17,35 +17,38 @@
   readonly log: ILogService
   readonly registry: UpstreamRegistry
   readonly limits: LimitSource
-  /** Those that this node knows by itself, which it tells to owners; two nodes that ask each other would keep up what they were told. All without it. */
+  /**
+   * The limits that this node reports to owners. Limits reported by other nodes must not be among them, or two nodes that
+   * query each other would keep renewing each other's reports. Defaults to all limits.
+   */
   readonly known?: LimitSource
-  /** Of the halls that this node owns the quotas of. */
+  /** Grants requests for the halls whose quotas this node owns. */
   readonly owner: QuotaOwner
   readonly links: CoordinatorLinks
-  /** Where the owner of a hall's quotas is reached; undefined where that is this node. */
+  /** Returns the address of the owner of a hall's quotas, or undefined if that is this node. */
   readonly findOwner: (hall: string) => string | undefined
   readonly countNodes: () => number
 }
 
-/** A node in another hall answers within a few milliseconds. */
-const ANSWER_TIMEOUT_MS = 150
-const UNREACHABLE: QuotaGrant = { isGranted: false, retryInMs: 200 }
-/** What was denied may be asked for again after this, since limits change. */
-const MAX_DENIED_MS = 1000
+/** A node in another hall normally answers within a few milliseconds. */
+const RESPONSE_TIMEOUT_MS = 150
+const OWNER_UNREACHABLE: QuotaGrant = { isGranted: false, retryInMs: 200 }
+/** Limits change, so the quota is requested again after at most this time, even if the owner gave a longer delay. */
+const MAX_DENIAL_MS = 1000
 
 export class QuotaService extends Disposable implements IQuotaService {
   private readonly _options: QuotaServiceOptions
   private readonly _deniedUntil = new Map<string, number>()
-  private readonly _waiting = new Map<number, (grant: QuotaGrant) => void>()
-  private readonly _returns = new ReturnSchedule()
+  private readonly _pendingQueries = new Map<number, (decision: QuotaGrant) => void>()
+  private readonly _retryAfterSchedule = new RetryAfterSchedule()
   private _nextId = 1
 
   constructor (options: QuotaServiceOptions) {
     super()
     this._options = options
-    this._register(options.registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._forget(entry.id) }))
+    this._register(options.registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._removeUpstream(entry.id) }))
     this._register(options.links.onDidOpen(link => {
-      link.onDidAnswerQuota(({ id, ...grant }) => this._settle(id, grant))
+      link.onDidAnswerQuota(({ id, ...decision }) => this._completeQuery(id, decision))
     }))
   }
 
@@ -61,57 +64,57 @@
     if (!this.isLimited(entry)) return true
     if (this.getWaitMs(entry) > 0) return false
     const address = this._options.findOwner(entry.hall)
-    const grant = address === undefined ? this._options.owner.acquire(entry) : await this._ask(address, entry)
-    const { isGranted, retryInMs } = grant
-    if (!isGranted) this._deniedUntil.set(entry.id, this._options.clock.now() + Math.min(retryInMs, MAX_DENIED_MS))
-    this._options.log.info('quota_asked', { request, upstream: entry.id, owner: address ?? 'own', granted: isGranted, per_s: this._options.limits.find(entry)?.perS ?? 'none', retry_in_ms: Math.round(Math.min(retryInMs, MAX_DENIED_MS)) })
+    const decision = address === undefined ? this._options.owner.acquire(entry) : await this._queryOwner(address, entry)
+    const { isGranted, retryInMs } = decision
+    if (!isGranted) this._deniedUntil.set(entry.id, this._options.clock.now() + Math.min(retryInMs, MAX_DENIAL_MS))
+    this._options.log.info('quota_asked', { request, upstream: entry.id, owner: address ?? 'own', granted: isGranted, per_s: this._options.limits.find(entry)?.perS ?? 'none', retry_in_ms: Math.round(Math.min(retryInMs, MAX_DENIAL_MS)) })
     return isGranted
   }
 
   scheduleReturn (role: string, entries: readonly UpstreamEntry[]): number {
     const { clock, limits, countNodes } = this._options
     const now = clock.now()
-    const soonestMs = Math.min(MAX_DENIED_MS, ...entries.map(entry => this.getWaitMs(entry)))
-    const found = entries.map(entry => limits.find(entry))
-    const perS = found.reduce((sum, limit) => sum + (limit?.perS ?? 0), 0) / countNodes()
-    const endsInMs = Math.min(...found.map(limit => limit?.until === undefined ? Infinity : limit.until - now))
-    return this._returns.schedule({ role, soonestMs, perS, endsInMs }, now)
+    const earliestMs = Math.min(MAX_DENIAL_MS, ...entries.map(entry => this.getWaitMs(entry)))
+    const rateLimits = entries.map(entry => limits.find(entry))
+    const perS = rateLimits.reduce((sum, limit) => sum + (limit?.perS ?? 0), 0) / countNodes()
+    const limitEndsInMs = Math.min(...rateLimits.map(limit => limit?.until === undefined ? Infinity : limit.until - now))
+    return this._retryAfterSchedule.schedule({ role, earliestMs, perS, limitEndsInMs }, now)
   }
 
-  /** A link that has to be opened first takes none of the time of an answer: the request may go elsewhere. */
-  private _ask (address: string, entry: UpstreamEntry): Promise<QuotaGrant> {
+  /** The timeout includes the time to open a link, since the request may be sent to another upstream instead. */
+  private _queryOwner (address: string, entry: UpstreamEntry): Promise<QuotaGrant> {
     const id = this._nextId++
     return new Promise(resolve => {
-      const timer = this._options.clock.schedule(ANSWER_TIMEOUT_MS, () => this._settle(id, UNREACHABLE))
-      this._waiting.set(id, grant => {
+      const timer = this._options.clock.schedule(RESPONSE_TIMEOUT_MS, () => this._completeQuery(id, OWNER_UNREACHABLE))
+      this._pendingQueries.set(id, decision => {
         timer.dispose()
-        resolve(grant)
+        resolve(decision)
       })
-      void this._sendQuestion(address, id, entry)
+      void this._sendQuery(address, id, entry)
     })
   }
 
-  private async _sendQuestion (address: string, id: number, entry: UpstreamEntry): Promise<void> {
+  private async _sendQuery (address: string, id: number, entry: UpstreamEntry): Promise<void> {
     const link = await this._options.links.connect(address)
-    if (link === undefined || link.isClosed) this._settle(id, UNREACHABLE)
-    else if (this._waiting.has(id)) link.askQuota(id, entry.id, this._findTold(entry))
+    if (link === undefined || link.isClosed) this._completeQuery(id, OWNER_UNREACHABLE)
+    else if (this._pendingQueries.has(id)) link.askQuota(id, entry.id, this._findLocalLimit(entry))
   }
 
-  private _findTold (entry: UpstreamEntry): ToldLimit | undefined {
+  private _findLocalLimit (entry: UpstreamEntry): ToldLimit | undefined {
     const { limits, known = limits } = this._options
     const limit = known.find(entry)
     return limit === undefined ? undefined : { perS: limit.perS, burst: limit.burst }
   }
 
-  /** A grant that comes too late is not used. */
-  private _settle (id: number, grant: QuotaGrant): void {
-    const settle = this._waiting.get(id)
-    this._waiting.delete(id)
-    settle?.(grant)
+  /** Ignores answers that arrive after the timeout. */
+  private _completeQuery (id: number, decision: QuotaGrant): void {
+    const complete = this._pendingQueries.get(id)
+    this._pendingQueries.delete(id)
+    complete?.(decision)
   }
 
-  private _forget (upstream: string): void {
+  private _removeUpstream (upstream: string): void {
     this._deniedUntil.delete(upstream)
-    this._options.owner.drop(upstream)
+    this._options.owner.removeUpstream(upstream)
   }
 }
--- a/src/services/quota/node/rateLimitService.ts
+++ b/src/services/quota/node/rateLimitService.ts
@@ -1,6 +1,6 @@
 /**
- * Knows the rate limits that upstreams state in their answers, to whichever node. A node that hears of a change tells
- * all others.
+ * Tracks the rate limits that upstreams state in their answers to any node. A node that observes a change announces it to
+ * all others as a fact.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { Disposable } from '../../../base/common/disposable.ts'
@@ -8,74 +8,74 @@
 import { isFactOf } from '../../facts/common/factStore.ts'
 import type { FactStore, HeldFactOf } from '../../facts/common/factStore.ts'
 import type { ILogService } from '../../log/node/logger.ts'
-import { RateLimitBook } from '../common/rateLimitBook.ts'
-import type { HeardRate } from '../common/rateLimitBook.ts'
+import { RateLimitTable } from '../common/rateLimitBook.ts'
+import type { ObservedRateLimit } from '../common/rateLimitBook.ts'
 
 export interface RateLimitServiceOptions {
   readonly clock: IClock
   readonly log: ILogService
   readonly facts: FactStore
-  /** This node, by its address. */
+  /** The address of this node. */
   readonly node: string
-  /** Grows with each boot of the host. */
+  /** Increases with each start of this node. */
   readonly incarnation: number
 }
 
-/** An upstream's limit as this node knows it, for the dump. */
+/** A limit known to this node, for operators. */
 export interface KnownLimit {
   readonly upstream: string
   readonly perS: number
   readonly ageMs: number
 }
 
-/** A limit that stays in force is announced again, or nodes that join later would not learn of it. */
-const REPEAT_MS = 60_000
-/** Changes of one upstream's limit are announced this often at most. */
-const MIN_PERIOD_MS = 100
+/** A limit that stays in force is announced again, so that nodes that join later learn of it. */
+const REANNOUNCE_PERIOD_MS = 60_000
+/** Minimum time between two announcements for one upstream. */
+const MIN_ANNOUNCE_INTERVAL_MS = 100
 
 export class RateLimitService extends Disposable {
   private readonly _options: RateLimitServiceOptions
-  private readonly _book = new RateLimitBook()
+  private readonly _table = new RateLimitTable()
   private _factCounter = 0
 
   constructor (options: RateLimitServiceOptions) {
     super()
     this._options = options
-    this._register(options.facts.onDidChange(fact => { if (isFactOf(fact, 'limit') && fact.source !== '') this._takeFact(fact) }))
+    this._register(options.facts.onDidChange(fact => { if (isFactOf(fact, 'limit') && fact.source !== '') this._applyFact(fact) }))
   }
 
-  /** Takes in what came with an answer: requests per second, or that there is no limit. */
+  /** Records the limit stated in an answer, in requests per second; undefined if the upstream stated that it has none. */
   note (upstream: string, perS: number | undefined): void {
-    const heardAt = this._options.clock.now()
-    const held = this._book.get(upstream)
-    const ageMs = heardAt - (held?.heardAt ?? -Infinity)
-    const isKnown = held?.perS === perS && (perS === undefined || ageMs < REPEAT_MS)
-    if (isKnown || ageMs < MIN_PERIOD_MS) return
-    this._apply({ upstream, perS, heardAt }, '')
+    const observedAt = this._options.clock.now()
+    const known = this._table.get(upstream)
+    const ageMs = observedAt - (known?.observedAt ?? -Infinity)
+    const isKnown = known?.perS === perS && (perS === undefined || ageMs < REANNOUNCE_PERIOD_MS)
+    if (isKnown || ageMs < MIN_ANNOUNCE_INTERVAL_MS) return
+    this._apply({ upstream, perS, observedAt }, '')
     const { facts, node, incarnation } = this._options
     facts.merge({ subject: formatLimitSubject(upstream, node), incarnation, counter: ++this._factCounter, value: { kind: 'limit', upstream, perS }, ageMs: 0 })
   }
 
-  /** Requests per second; undefined where the upstream accepts any number. */
+  /** Returns the limit in requests per second, or undefined if none is known. */
   findLimit (upstream: string): number | undefined {
-    return this._book.findLimit(upstream)
+    return this._table.findLimit(upstream)
   }
 
-  /** The limits in force. */
+  /** Lists the limits in force. */
   listLimits (): readonly KnownLimit[] {
     const now = this._options.clock.now()
-    return this._book.listLimits().map(({ upstream, perS = 0, heardAt }) => ({ upstream, perS, ageMs: Math.round(now - heardAt) }))
+    return this._table.listLimits().map(({ upstream, perS = 0, observedAt }) => ({ upstream, perS, ageMs: Math.round(now - observedAt) }))
   }
 
-  private _takeFact ({ value: { upstream, perS }, observedAt, source }: HeldFactOf<'limit'>): void {
-    this._apply({ upstream, perS, heardAt: observedAt }, source)
+  private _applyFact ({ value: { upstream, perS }, observedAt, source }: HeldFactOf<'limit'>): void {
+    this._apply({ upstream, perS, observedAt }, source)
   }
 
-  private _apply (heard: HeardRate, source: string): void {
+  private _apply (observed: ObservedRateLimit, source: string): void {
     const { clock, log } = this._options
-    const { upstream, perS, heardAt } = heard
-    const before = this._book.findLimit(upstream)
-    if (!this._book.note(heard) || before === perS) return
-    log.info('rate_limit_changed', { upstream, per_s: perS ?? 'none', before: before ?? 'none', source: source === '' ? 'own' : source, age_ms: Math.round(clock.now() - heardAt) })
+    const { upstream, perS, observedAt } = observed
+    const before = this._table.findLimit(upstream)
+    if (!this._table.record(observed) || before === perS) return
+    log.info('rate_limit_changed', { upstream, per_s: perS ?? 'none', before: before ?? 'none', source: source === '' ? 'own' : source, age_ms: Math.round(clock.now() - observedAt) })
   }
 }
--- a/src/services/quota/test/quotaOwner.test.ts
+++ b/src/services/quota/test/quotaOwner.test.ts
@@ -13,58 +13,58 @@
 const SEED = 20261203
 const WINDOW_MS = 4000
 const MS_PER_S = 1000
-const SETTLE_MS = 1400
+const TAKEOVER_DELAY_MS = 1400
 const STEP_MS = 20
 const HALLS = ['x']
 
-/** What an upstream that accepts so many requests a second may get within the window. */
-function computeAllowed (perS: number): number {
+/** Returns the most requests that an upstream may receive within the window, given its rate limit. */
+function computeMaxRequests (perS: number): number {
   return perS * 1.5 * WINDOW_MS / MS_PER_S + 5
 }
 
-function countMost (times: readonly number[]): number {
+function countMaxInWindow (times: readonly number[]): number {
   return Math.max(0, ...times.map((from, index) => times.slice(index).filter(at => at >= from && at - from < WINDOW_MS).length))
 }
 
-/** A node that takes itself for the owner, and gives out what is asked for. */
-class FakeOwner {
+/** A node that can be made to regard itself as the owner. */
+class FakeOwnerNode {
   isOwner = false
   readonly owner: QuotaOwner
 
-  constructor (clock: VirtualClock, readonly getLimit: () => number | undefined, settleMs = SETTLE_MS) {
-    this.owner = new QuotaOwner({ clock, limits: new StatedLimits(getLimit), isOwner: () => this.isOwner, settleMs })
+  constructor (clock: VirtualClock, readonly getLimit: () => number | undefined, delayMs = TAKEOVER_DELAY_MS) {
+    this.owner = new QuotaOwner({ clock, limits: new StatedLimits(getLimit), isOwner: () => this.isOwner, settleMs: delayMs })
   }
 }
 
 for (const perS of [0.25, 1, 4, 20]) {
-  test(`requests in demand get nearly all of ${perS} a second, and never more than is allowed`, () => {
+  test(`under constant demand, nearly all of ${perS} requests per second are granted, and never more than allowed`, () => {
     const clock = new VirtualClock()
-    const node = new FakeOwner(clock, () => perS, 0)
+    const node = new FakeOwnerNode(clock, () => perS, 0)
     node.isOwner = true
     const grantedAt: number[] = []
     const spanMs = 40_000
     for (; clock.now() < spanMs; clock.advance(STEP_MS)) {
-      for (let tries = 0; tries < 3; tries++) if (node.owner.acquire(UPSTREAM).isGranted) grantedAt.push(clock.now())
+      for (let attempt = 0; attempt < 3; attempt++) if (node.owner.acquire(UPSTREAM).isGranted) grantedAt.push(clock.now())
     }
     assert.ok(grantedAt.length >= 0.9 * perS * spanMs / MS_PER_S, `${grantedAt.length} granted`)
-    assert.ok(countMost(grantedAt) <= computeAllowed(perS), `${countMost(grantedAt)} in a window`)
+    assert.ok(countMaxInWindow(grantedAt) <= computeMaxRequests(perS), `${countMaxInWindow(grantedAt)} in a window`)
   })
 }
 
-test('a limit of 0 lets a request through now and then, so that the upstream can take it back', () => {
+test('a limit of 0 still grants a request from time to time, so that the upstream can raise the limit', () => {
   const clock = new VirtualClock()
-  const node = new FakeOwner(clock, () => 0, 0)
+  const node = new FakeOwnerNode(clock, () => 0, 0)
   node.isOwner = true
   let granted = 0
   for (; clock.now() < 40_000; clock.advance(STEP_MS)) if (node.owner.acquire(UPSTREAM).isGranted) granted++
   assert.ok(granted >= 10 && granted <= 12, `${granted} granted`)
 })
 
-test('owners that follow each other at any moments keep the limit together', () => {
+test('successive owners whose terms overlap briefly stay within the limit together, whenever ownership changes', () => {
   const turns = fc.array(fc.record({ afterMs: fc.integer({ min: 0, max: 3000 }), overlapMs: fc.integer({ min: 0, max: 800 }) }), { minLength: 1, maxLength: 12 })
   fc.assert(fc.property(turns, fc.constantFrom(0.25, 1, 4, 20), (changes, perS) => {
     const clock = new VirtualClock()
-    const nodes = [0, 1].map(() => new FakeOwner(clock, () => perS))
+    const nodes = [0, 1].map(() => new FakeOwnerNode(clock, () => perS))
     const grantedAt: number[] = []
     const run = (forMs: number) => {
       for (let passed = 0; passed < forMs; passed += STEP_MS) {
@@ -83,41 +83,42 @@
       last.isOwner = false
       run(afterMs)
     })
-    assert.ok(countMost(grantedAt) <= computeAllowed(perS), `${countMost(grantedAt)} in a window with ${perS} a second`)
+    assert.ok(countMaxInWindow(grantedAt) <= computeMaxRequests(perS), `${countMaxInWindow(grantedAt)} in a window with ${perS} a second`)
   }), { seed: SEED, numRuns: 60 })
 })
 
-test('what another node owns is not given out, and neither is what was owned before a pause', () => {
+test('a node grants nothing that another node owns, or that it owned before a pause', () => {
   const clock = new VirtualClock()
-  const node = new FakeOwner(clock, () => 4)
+  const node = new FakeOwnerNode(clock, () => 4)
   assert.not(node.owner.acquire(UPSTREAM).isGranted)
   node.isOwner = true
   node.owner.refresh(HALLS)
-  clock.advance(SETTLE_MS)
+  clock.advance(TAKEOVER_DELAY_MS)
   assert.ok(node.owner.acquire(UPSTREAM).isGranted)
   node.owner.forgetOwned()
-  assert.equal(node.owner.acquire(UPSTREAM), { isGranted: false, retryInMs: SETTLE_MS })
+  assert.equal(node.owner.acquire(UPSTREAM), { isGranted: false, retryInMs: TAKEOVER_DELAY_MS })
 })
 
-// An owner that was behind the store granted 14 requests in 400 ms at an upstream that those who asked it knew to be cold.
-test('an owner that has not heard of a limit keeps what those who ask it know', () => {
+// Guards against an owner whose state is behind the store: it granted 14 requests in 400 ms for an upstream that the
+// querying nodes knew to be cold.
+test('an owner that does not know of a limit applies the one that the querying nodes report', () => {
   const clock = new VirtualClock()
-  const told = new ToldLimits(clock)
-  const owner = new QuotaOwner({ clock, limits: new AllLimits([new StatedLimits(() => undefined), told]), isOwner: () => true, settleMs: 0 })
+  const reported = new ToldLimits(clock)
+  const owner = new QuotaOwner({ clock, limits: new AllLimits([new StatedLimits(() => undefined), reported]), isOwner: () => true, settleMs: 0 })
   const grantedAt: number[] = []
   for (; clock.now() < WINDOW_MS; clock.advance(STEP_MS)) {
-    told.note(UPSTREAM.id, { perS: 4, burst: 2 })
+    reported.note(UPSTREAM.id, { perS: 4, burst: 2 })
     if (owner.acquire(UPSTREAM).isGranted) grantedAt.push(clock.now())
   }
-  assert.ok(grantedAt.length >= 0.9 * 4 * WINDOW_MS / MS_PER_S && countMost(grantedAt) <= computeAllowed(4), `${grantedAt.length} granted`)
-  assert.is(told.find({ ...UPSTREAM, id: 'v' }), undefined)
+  assert.ok(grantedAt.length >= 0.9 * 4 * WINDOW_MS / MS_PER_S && countMaxInWindow(grantedAt) <= computeMaxRequests(4), `${grantedAt.length} granted`)
+  assert.is(reported.find({ ...UPSTREAM, id: 'v' }), undefined)
   clock.advance(2000)
-  assert.is(told.find(UPSTREAM), undefined)
+  assert.is(reported.find(UPSTREAM), undefined)
   assert.ok(owner.acquire(UPSTREAM).isGranted)
 })
 
-test('an upstream without a limit is free to use, whoever owns its quota', () => {
-  assert.ok(new FakeOwner(new VirtualClock(), () => undefined).owner.acquire(UPSTREAM).isGranted)
+test('requests to an upstream without a limit are granted by any node', () => {
+  assert.ok(new FakeOwnerNode(new VirtualClock(), () => undefined).owner.acquire(UPSTREAM).isGranted)
 })
 
 test.run()
--- a/src/services/quota/test/quotaService.test.ts
+++ b/src/services/quota/test/quotaService.test.ts
@@ -12,7 +12,7 @@
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import { StatedLimits } from '../common/limitSource.ts'
 import { QuotaOwner } from '../common/quotaOwner.ts'
-import { ReturnSchedule } from '../common/returnSchedule.ts'
+import { RetryAfterSchedule } from '../common/returnSchedule.ts'
 import { LimitedPieces } from '../node/limitedPieces.ts'
 import { QuotaService } from '../node/quotaService.ts'
 
@@ -20,8 +20,8 @@
 
 const UPSTREAM: UpstreamEntry = { id: 'u', role: 'r', address: '127.0.0.1:9', hall: 'x', slots: 8, isLeaving: false }
 const NODES = 7
-const MAX_ANSWER_MS = 400
-const MAX_SILENCE_MS = 2000
+const MAX_RESPONSE_MS = 400
+const MAX_RECONNECT_MS = 2000
 
 class CountingPieces extends PieceProtocol {
   callCount = 0
@@ -37,7 +37,7 @@
   }
 }
 
-/** A node that owns the quota, and others that ask it through a relay. */
+/** Runs a node that owns the quota, and others that query it through a relay. */
 async function runFleet (getLimit: () => number | undefined, run: (nodes: readonly QuotaService[], relay: FaultRelay) => Promise<void>): Promise<void> {
   const clock = new SystemClock()
   const log = new LogService({ program: 'test', silent: true })
@@ -63,31 +63,31 @@
   }
 }
 
-test('nodes that ask one owner get the limit together, and no more', () => runFleet(() => 2, async nodes => {
+test('nodes that query one owner are together granted the limit, and no more', () => runFleet(() => 2, async nodes => {
   const granted = await Promise.all(nodes.map(node => node.acquire(UPSTREAM, 'r')))
   assert.is(granted.filter(isGranted => isGranted).length, 1)
   assert.ok(nodes.every((node, index) => (node.getWaitMs(UPSTREAM) === 0) === granted[index]))
 }))
 
-test('an owner that cannot be heard grants nothing, and does not keep a request waiting', () => runFleet(() => 20, async ([node], relay) => {
+test('a request to an unreachable owner is denied without a long wait', () => runFleet(() => 20, async ([node], relay) => {
   assert.ok(node !== undefined && await node.acquire(UPSTREAM, 'r'))
   relay.stopForwarding()
   const startedAt = performance.now()
   assert.not(await node.acquire(UPSTREAM, 'r'))
-  assert.ok(performance.now() - startedAt < MAX_ANSWER_MS)
-  // It is asked over a new connection as soon as the silence shows.
+  assert.ok(performance.now() - startedAt < MAX_RESPONSE_MS)
+  // The owner is queried over a new connection as soon as the old one is found to be stalled.
   while (!await node.acquire(UPSTREAM, 'r')) {
-    assert.ok(performance.now() - startedAt < MAX_SILENCE_MS)
+    assert.ok(performance.now() - startedAt < MAX_RECONNECT_MS)
     await new Promise(resolve => { setTimeout(resolve, 50) })
   }
 }))
 
-test('an upstream without a limit is used without asking anyone', () => runFleet(() => undefined, async ([node], relay) => {
+test('quota for an upstream without a limit is granted without a query to the owner', () => runFleet(() => undefined, async ([node], relay) => {
   relay.cut()
   assert.ok(node !== undefined && await node.acquire(UPSTREAM, 'r'))
 }))
 
-test('calls for pieces and what gives them back count as well', () => runFleet(() => 1, async ([node]) => {
+test('calls that compute pieces or free results count against the limit', () => runFleet(() => 1, async ([node]) => {
   assert.ok(node !== undefined)
   const pieces = new CountingPieces()
   const limited = new LimitedPieces(pieces, node)
@@ -98,17 +98,17 @@
   assert.is(pieces.callCount, 1)
 }))
 
-test('callers whom nobody accepts return one after the other', () => runFleet(() => 2, ([node]) => {
+test('callers that no upstream accepts are given successive retry times', () => runFleet(() => 2, ([node]) => {
   const times = Array.from({ length: 3 }, () => node?.scheduleReturn('r', [UPSTREAM]) ?? 0)
   const [first = 0, second = 0, third = 0] = times
   assert.ok(second - first > 3000 && third > second, times.join(' '))
   return Promise.resolve()
 }))
 
-test('callers return when the limit of an upstream ends, if that is sooner', () => {
-  const returns = new ReturnSchedule()
-  const terms = { role: 'r', soonestMs: 100, perS: 1, endsInMs: 1500 }
-  assert.equal([0, 0, 0, 0].map(now => returns.schedule(terms, now)), [100, 1100, 1500, 1500])
+test('callers retry when the limit of an upstream ends, if that is sooner', () => {
+  const schedule = new RetryAfterSchedule()
+  const terms = { role: 'r', earliestMs: 100, perS: 1, limitEndsInMs: 1500 }
+  assert.equal([0, 0, 0, 0].map(now => schedule.schedule(terms, now)), [100, 1100, 1500, 1500])
 })
 
 test.run()
--- a/src/services/quota/test/rateLimitService.test.ts
+++ b/src/services/quota/test/rateLimitService.test.ts
@@ -23,18 +23,18 @@
   return facts.createFacts(facts.list())
 }
 
-test('nodes agree on the latest statement, in whatever order and how often they hear of all', () => {
+test('nodes agree on the latest statement, in whatever order and however often they receive the facts', () => {
   const statements = fc.array(fc.record({ node: fc.integer({ min: 0, max: 2 }), perS: fc.constantFrom(undefined, 0, 0.25, 1, 20) }), { minLength: 1, maxLength: 12 })
-  fc.assert(fc.property(statements, fc.infiniteStream(fc.nat()), (made, draws) => {
+  fc.assert(fc.property(statements, fc.infiniteStream(fc.nat()), (stated, ranks) => {
     const clock = new VirtualClock()
     const nodes = ['a', 'b', 'c'].map(node => createNode(clock, node))
-    for (const { node, perS } of made) {
+    for (const { node, perS } of stated) {
       nodes[node]?.limits.note('u', perS)
       clock.advance(1000)
     }
     const all = nodes.flatMap(({ facts }) => listFacts(facts))
     for (const { facts } of nodes) {
-      const order = [...all, ...all].map(fact => ({ fact, rank: draws.next().value ?? 0 })).sort((a, b) => a.rank - b.rank)
+      const order = [...all, ...all].map(fact => ({ fact, rank: ranks.next().value ?? 0 })).sort((a, b) => a.rank - b.rank)
       for (const { fact } of order) facts.merge(fact, 'peer')
     }
     const known = nodes.map(({ limits }) => limits.findLimit('u'))
@@ -42,7 +42,7 @@
   }), { seed: SEED, numRuns: 100 })
 })
 
-test('a change is told once, and one that goes on is told again to nodes that join later', () => {
+test('a change is announced once, and a limit that stays in force is announced again for nodes that join later', () => {
   const clock = new VirtualClock()
   const { facts, limits } = createNode(clock, 'a')
   for (let count = 0; count < 100; count++) {
@@ -55,7 +55,7 @@
   assert.is(facts.sequence, 2)
 })
 
-test('each change of belief is a line with who told of it and how long ago', () => {
+test('each change of a known limit is logged with its source and age', () => {
   const clock = new VirtualClock()
   const [first, second] = ['a', 'b'].map(node => createNode(clock, node))
   assert.ok(first && second)
--- a/src/services/retry/common/retryPolicy.ts
+++ b/src/services/retry/common/retryPolicy.ts
@@ -1,14 +1,14 @@
 /**
- * Whether a failed stage may be tried again. Retries multiply load just when there is too much of it,
- * so they are paid for by first attempts.
+ * Decides whether a failed stage may be retried. Retries add load when the system is already overloaded, so their number
+ * is limited in proportion to the first attempts.
  */
 export abstract class RetryPolicy {
   abstract recordFirstAttempt (role: string): void
-  /** Takes one retry from the budget; false when none is left. */
+  /** Consumes one retry of the budget. Returns false if none is left. */
   abstract takeRetry (role: string): boolean
 }
 
-/** Baseline: as many retries as the deadline allows. */
+/** Baseline for comparison: allows as many retries as fit within the deadline. */
 export class UnlimitedRetries extends RetryPolicy {
   recordFirstAttempt (): void {}
 
@@ -18,36 +18,36 @@
 }
 
 export interface RetryBudgetOptions {
-  /** Retries earned by one first attempt. */
+  /** Retries added to the budget by one first attempt. */
   readonly share?: number
-  /** Retries that a role can save up; a function where it follows the number of processes that share them. */
+  /** The most retries that a role can accumulate; a function if this depends on the number of processes that share them. */
   readonly maxSaved?: number | (() => number)
 }
 
 export class RetryBudget extends RetryPolicy {
-  private readonly _share: number
-  private readonly _getMaxSaved: () => number
-  private readonly _saved = new Map<string, number>()
+  private readonly _retryRatio: number
+  private readonly _getMaxBalance: () => number
+  private readonly _balances = new Map<string, number>()
 
   constructor (options: RetryBudgetOptions = {}) {
     super()
-    this._share = options.share ?? 0.1
+    this._retryRatio = options.share ?? 0.1
     const { maxSaved = 10 } = options
-    this._getMaxSaved = typeof maxSaved === 'number' ? () => maxSaved : maxSaved
+    this._getMaxBalance = typeof maxSaved === 'number' ? () => maxSaved : maxSaved
   }
 
   recordFirstAttempt (role: string): void {
-    this._saved.set(role, Math.min(this._getMaxSaved(), this._getSaved(role) + this._share))
+    this._balances.set(role, Math.min(this._getMaxBalance(), this._getBalance(role) + this._retryRatio))
   }
 
   takeRetry (role: string): boolean {
-    const saved = this._getSaved(role)
-    if (saved < 1) return false
-    this._saved.set(role, saved - 1)
+    const balance = this._getBalance(role)
+    if (balance < 1) return false
+    this._balances.set(role, balance - 1)
     return true
   }
 
-  private _getSaved (role: string): number {
-    return this._saved.get(role) ?? this._getMaxSaved()
+  private _getBalance (role: string): number {
+    return this._balances.get(role) ?? this._getMaxBalance()
   }
 }
--- a/src/services/retry/common/windowedRetries.ts
+++ b/src/services/retry/common/windowedRetries.ts
@@ -1,6 +1,6 @@
 /**
- * Retries of a fleet that may make so many in any window of time. Each node may spend its part of them at once: what is
- * lost together is tried again together, when it still helps.
+ * A retry budget for a fleet that limits the retries within any sliding window. Each node may use its share all at once, so
+ * that runs that are lost together can be retried together, before their deadlines pass.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { SlidingCount } from '../../../base/common/slidingCount.ts'
@@ -9,19 +9,19 @@
 export interface WindowedRetriesOptions {
   readonly clock: IClock
   readonly windowMs: number
-  /** Retries for one first attempt of the window. */
+  /** Retries allowed for each first attempt within the window. */
   readonly share: number
-  /** Retries in a window that need no first attempts; this node's part of them. */
+  /** Returns this node's share of the retries that are allowed in a window regardless of the number of first attempts. */
   readonly getSpare: () => number
 }
 
-/** First attempts are counted in so many parts of a window; one that is not wholly within the window does not count. */
-const PARTS = 20
+/** First attempts are counted by slices of the window; a slice that is only partly within the window does not count. */
+const SLICES_PER_WINDOW = 20
 
 export class WindowedRetries extends RetryPolicy {
   private readonly _options: WindowedRetriesOptions
-  /** First attempts of each role, by number of the part of a window. */
-  private readonly _firsts = new Map<string, Map<number, number>>()
+  /** The number of first attempts by role and index of the slice. */
+  private readonly _firstAttempts = new Map<string, Map<number, number>>()
   private readonly _retries: SlidingCount
 
   constructor (options: WindowedRetriesOptions) {
@@ -31,38 +31,38 @@
   }
 
   recordFirstAttempt (role: string): void {
-    const firsts = this._getFirsts(role)
-    const part = this._computePart()
-    firsts.set(part, (firsts.get(part) ?? 0) + 1)
-    for (const old of firsts.keys()) if (old <= part - PARTS) firsts.delete(old)
+    const attempts = this._getFirstAttempts(role)
+    const slice = this._computeSlice()
+    attempts.set(slice, (attempts.get(slice) ?? 0) + 1)
+    for (const oldSlice of attempts.keys()) if (oldSlice <= slice - SLICES_PER_WINDOW) attempts.delete(oldSlice)
   }
 
   takeRetry (role: string): boolean {
     const { clock, share, getSpare } = this._options
     const now = clock.now()
-    if (this._retries.count(role, now) + 1 > getSpare() + share * this._countFirsts(role)) return false
+    if (this._retries.count(role, now) + 1 > getSpare() + share * this._countFirstAttempts(role)) return false
     this._retries.add(role, now)
     return true
   }
 
-  private _countFirsts (role: string): number {
-    const oldest = this._computePart() - PARTS
+  private _countFirstAttempts (role: string): number {
+    const oldestSlice = this._computeSlice() - SLICES_PER_WINDOW
     let count = 0
-    for (const [part, firstsOfPart] of this._getFirsts(role)) if (part > oldest) count += firstsOfPart
+    for (const [slice, attemptsInSlice] of this._getFirstAttempts(role)) if (slice > oldestSlice) count += attemptsInSlice
     return count
   }
 
-  private _computePart (): number {
+  private _computeSlice (): number {
     const { clock, windowMs } = this._options
-    return Math.floor(clock.now() * PARTS / windowMs)
+    return Math.floor(clock.now() * SLICES_PER_WINDOW / windowMs)
   }
 
-  private _getFirsts (role: string): Map<number, number> {
-    let firsts = this._firsts.get(role)
-    if (firsts === undefined) {
-      firsts = new Map()
-      this._firsts.set(role, firsts)
+  private _getFirstAttempts (role: string): Map<number, number> {
+    let attempts = this._firstAttempts.get(role)
+    if (attempts === undefined) {
+      attempts = new Map()
+      this._firstAttempts.set(role, attempts)
     }
-    return firsts
+    return attempts
   }
 }
--- a/src/services/retry/test/lostUpstreams.test.ts
+++ b/src/services/retry/test/lostUpstreams.test.ts
@@ -1,7 +1,7 @@
 /**
- * Several upstreams are lost at one moment, with all that they run, and most of it can go on elsewhere. The retries that
- * the fleet may make are shared out by nodes: each of 89 had not quite two at hand, and earned one in some seconds, so
- * what a node could not pay for ended as unknown while others had retries to spare.
+ * Several upstreams are lost at once with all their runs, most of which can be retried on other upstreams. Guards against a
+ * retry budget that is split too finely between nodes: each of 89 nodes had saved fewer than two retries and earned another
+ * one only every few seconds, so requests on some nodes ended as unknown while other nodes had unused retries.
  */
 import fc from 'fast-check'
 import { suite } from 'uvu'
@@ -15,19 +15,19 @@
 
 const NODES = 89
 const REQUESTS_PER_S = 204
-/** All nodes together may make so many retries for each first attempt of a window, and so many more. */
-const SHARE = 0.2
-const SPARE = 218
+/** Retries that all nodes together may make in a window: a ratio of the first attempts, plus a base number. */
+const RETRY_RATIO = 0.2
+const BASE_RETRIES = 218
 const WINDOW_MS = 10_000
-/** 16 of 98 upstreams with two or three runs each, and as many requests that are sent there before it is known. */
+/** 16 of 98 upstreams with two or three runs each, and as many requests that are sent to them before the loss is known. */
 const LOST_RUNS = 80
 const STEP_MS = 100
 
 function createPolicy (clock: VirtualClock): RetryPolicy {
-  return new WindowedRetries({ clock, windowMs: WINDOW_MS, share: SHARE * 0.8, getSpare: () => SPARE * 0.8 / NODES })
+  return new WindowedRetries({ clock, windowMs: WINDOW_MS, share: RETRY_RATIO * 0.8, getSpare: () => BASE_RETRIES * 0.8 / NODES })
 }
 
-test('what runs at several upstreams that are lost together is tried again, within what the fleet may', () => {
+test('runs at several upstreams that are lost together are retried within the budget of the fleet', () => {
   const clock = new VirtualClock()
   const random = new SeededRandom(1)
   const nodes = Array.from({ length: NODES }, () => createPolicy(clock))
@@ -38,15 +38,15 @@
   }
   let retried = 0
   for (let run = 0; run < LOST_RUNS; run++) if (pick()?.takeRetry('model') === true) retried++
-  assert.ok(retried <= SPARE + SHARE * REQUESTS_PER_S * WINDOW_MS / 1000)
+  assert.ok(retried <= BASE_RETRIES + RETRY_RATIO * REQUESTS_PER_S * WINDOW_MS / 1000)
   assert.ok(retried >= LOST_RUNS * 0.95, `${retried} of ${LOST_RUNS}`)
 })
 
-test('in no window does a node make more retries than its part', () => {
+test('no node exceeds its share of the retries in any window', () => {
   const event = fc.record({ afterMs: fc.integer({ min: 0, max: 3000 }), firsts: fc.integer({ min: 0, max: 20 }), retries: fc.integer({ min: 0, max: 10 }) })
   fc.assert(fc.property(fc.array(event, { maxLength: 40 }), events => {
     const clock = new VirtualClock(1234)
-    const policy = new WindowedRetries({ clock, windowMs: WINDOW_MS, share: SHARE, getSpare: () => 2 })
+    const policy = new WindowedRetries({ clock, windowMs: WINDOW_MS, share: RETRY_RATIO, getSpare: () => 2 })
     const firstsAt: number[] = []
     const retriedAt: number[] = []
     for (const { afterMs, firsts, retries } of events) {
@@ -56,8 +56,8 @@
         firstsAt.push(clock.now())
       }
       for (let count = 0; count < retries; count++) if (policy.takeRetry('model')) retriedAt.push(clock.now())
-      const countSince = (times: readonly number[]) => times.filter(at => clock.now() - at < WINDOW_MS).length
-      assert.ok(countSince(retriedAt) <= 2 + SHARE * countSince(firstsAt))
+      const countInWindow = (times: readonly number[]) => times.filter(at => clock.now() - at < WINDOW_MS).length
+      assert.ok(countInWindow(retriedAt) <= 2 + RETRY_RATIO * countInWindow(firstsAt))
     }
   }), { seed: 20261203 })
 })
