--- a/src/services/feed/common/changeFeed.ts
+++ b/src/services/feed/common/changeFeed.ts
@@ -1,42 +1,43 @@
 /**
- * What a node that follows a source and one that is told by others exchange.
+ * The feed of source changes from feeders, which follow the source themselves, to readers, which receive its changes from
+ * feeders.
  */
 import type { Event } from '../../../base/common/event.ts'
 import type { SourceChanges } from './sourceChanges.ts'
 
-/** Changes that a feeder told of. */
+/** Changes received from a feeder. */
 export interface FedChanges extends SourceChanges {
-  /** The feeder that told. */
+  /** The feeder's address. */
   readonly source: string
-  /** When the feeder last heard the source again after a break, on this process's clock. */
+  /** Since when the feeder has followed the source without interruption, in milliseconds on this process's clock. */
   readonly heardSince: number
-  /** When the source last told the feeder that there is no more, on this process's clock. */
+  /** When the source last confirmed to the feeder that there are no further changes, in milliseconds on this process's clock. */
   readonly confirmedAt: number
 }
 
 export interface IChangeFeed {
-  /** Whether feeders can be relied on, so that the source need not be asked. */
+  /** Whether at least one feeder is reliable, so that this node need not query the source itself. */
   readonly isFed: boolean
-  /** Fired when `isFed` has changed. */
+  /** Fired when the availability of a reliable feeder has changed. */
   readonly onDidChange: Event<void>
-  /** Changes in the order of revisions; empty ones confirm that there are none. */
+  /** Changes in the order of revisions; an empty list confirms that there are none. */
   readonly onDidReceive: Event<FedChanges>
 
-  /** A feeder told of a later era of the source than this node knows: fired with the position that it told. */
+  /** Fired with a feeder's position when it is in a later era of the source than this node's. */
   readonly onDidOutgrow: Event<number>
 
-  /** The revision up to which this node has taken all changes; undefined while it has no list. */
+  /** Sets the revision up to which this node has applied all changes; undefined while it has no complete list. */
   setRevision (revision: number | undefined): void
 
-  /** Whether others rely on this node to follow the source. */
+  /** Whether other nodes receive changes from this node. */
   readonly hasReaders: boolean
 
   /**
-   * The source itself has told this node of changes, or with none, that there are none. Since `heardSince` it was heard
-   * without a break.
+   * Publishes changes that this node received from the source; an empty list confirms that there are none. The second
+   * parameter is the time since which the node has followed the source without interruption.
    */
   publish (changes: SourceChanges, heardSince: number): void
 
-  /** This node does not hear the source any more. */
+  /** Informs the readers that this node has lost the source. */
   announceLoss (): void
 }
--- a/src/services/feed/common/feederChoice.ts
+++ b/src/services/feed/common/feederChoice.ts
@@ -1,6 +1,6 @@
 /**
- * Which hosts follow the source themselves and hand on what it says. Every host computes the same answer from the same
- * members; where views differ for a while, some follow the source without need.
+ * Selects the feeders: the hosts that follow the source themselves and forward its changes. Every host computes the same result
+ * from the same members; while their views of the members differ, some hosts follow the source unnecessarily.
  */
 import { rankByRendezvous } from '../../../base/common/rendezvous.ts'
 
@@ -9,17 +9,17 @@
   readonly hall: string
 }
 
-/** With fewer hosts a feeder would serve hardly more than itself. */
-export const MIN_FED_HOSTS = 6
+/** With fewer hosts, a feeder would have hardly any readers. */
+export const MIN_HOSTS_FOR_FEEDERS = 6
 /**
- * Each host listens to two feeders, so that the loss of one, or of one hall, is not noticed, and what one of them is late
- * to hear the other one tells.
+ * Each host reads from two feeders, so that the loss of one feeder or one hall has no effect, and a change that one receives
+ * late arrives from the other.
  */
 const FEEDERS_PER_READER = 2
 
-/** The hosts that feed: the first of each hall, and where there is one hall only, the first two. */
+/** Returns the highest ranked host of each hall as feeders, or the two highest if there is only one hall. */
 export function listFeeders (members: readonly FeedMember[]): readonly FeedMember[] {
-  if (members.length < MIN_FED_HOSTS) return members
+  if (members.length < MIN_HOSTS_FOR_FEEDERS) return members
   const halls = [...new Set(members.map(member => member.hall))]
   const count = Math.ceil(FEEDERS_PER_READER / halls.length)
   return halls.flatMap(hall => {
@@ -29,10 +29,10 @@
   })
 }
 
-/** The feeders that a host listens to, that of its own hall first; none where the host feeds itself. */
+/** Returns the feeders that a host reads from, those of its own hall first; none if the host is a feeder itself. */
 export function chooseFeeders (own: FeedMember, feeders: readonly FeedMember[]): readonly string[] {
   if (feeders.some(feeder => feeder.address === own.address)) return []
-  const near = feeders.filter(feeder => feeder.hall === own.hall).map(feeder => feeder.address)
-  const far = feeders.filter(feeder => feeder.hall !== own.hall).map(feeder => feeder.address)
-  return [...near, ...rankByRendezvous(own.address, far)].slice(0, FEEDERS_PER_READER)
+  const localFeeders = feeders.filter(feeder => feeder.hall === own.hall).map(feeder => feeder.address)
+  const remoteFeeders = feeders.filter(feeder => feeder.hall !== own.hall).map(feeder => feeder.address)
+  return [...localFeeders, ...rankByRendezvous(own.address, remoteFeeders)].slice(0, FEEDERS_PER_READER)
 }
--- a/src/services/feed/common/sourceChanges.ts
+++ b/src/services/feed/common/sourceChanges.ts
@@ -1,8 +1,9 @@
 /**
- * What a source of keyed values says of them, by its revisions. All of these are positions, which grow over eras too.
+ * The values and changes of a key-value source. Revisions are positions (see sourcePosition.ts), which also increase across
+ * eras.
  */
 
-/** A value of the source. */
+/** A value of the source, with its key. */
 export interface SourceItem {
   readonly key: string
   readonly text: string
@@ -10,12 +11,12 @@
   readonly revision: number
 }
 
-/** A change of the source; without an item the value is gone. */
+/** A change of the source; without an item, the value was deleted unless it is withheld. */
 export interface SourceChange {
   readonly key: string
   readonly revision: number
   readonly item: SourceItem | undefined
-  /** The value was written, but is too long to be handed on by a feed. */
+  /** The value was written, but is too long to be forwarded by a feed. */
   readonly isWithheld?: boolean
 }
 
@@ -27,13 +28,13 @@
 }
 
 /**
- * What changes add to a revision that is known already. Two that tell of the same source overtake each other: taken whole,
- * the slower one would bring back what the faster one said is gone.
+ * Returns the changes after a revision that is known already. Changes of the same source arrive from several senders in any
+ * order: applied unfiltered, a late change would restore a value whose deletion was received earlier.
  */
-export function dropKnown (told: SourceChanges, known: number): SourceChanges {
+export function dropKnown (received: SourceChanges, known: number): SourceChanges {
   return {
-    after: Math.max(told.after, known),
-    revision: Math.max(told.revision, known),
-    changes: told.changes.filter(change => change.revision > known)
+    after: Math.max(received.after, known),
+    revision: Math.max(received.revision, known),
+    changes: received.changes.filter(change => change.revision > known)
   }
 }
--- a/src/services/feed/common/sourcePosition.ts
+++ b/src/services/feed/common/sourcePosition.ts
@@ -1,15 +1,16 @@
 /**
- * Places in the history of a source, as numbers that only grow. A source numbers its changes; when it is restored from a
- * copy it gives out numbers again, in the next era. Joined into one number the two are compared, kept and sent alike.
+ * Positions in the history of a source, as numbers that only increase. A source numbers its changes with revisions; after a
+ * restore from a backup it reuses revisions in the next era. Era and revision are combined into one number, so that they are
+ * compared, stored and sent together.
  */
 
-/** A source with a thousand changes a second gives out so many revisions in two years. */
+/** A source with 1,000 changes per second uses this many revisions in two years. */
 const REVISIONS_PER_ERA = 2 ** 36
 export const MAX_REVISION = REVISIONS_PER_ERA - 1
-/** Positions stay exact: 16 bits of era and 36 of revision. */
+/** 16 bits of era and 36 bits of revision: positions remain safe integers. */
 export const MAX_ERA = 2 ** 16 - 1
 
-/** A source that tells no era is in the first one, where positions are revisions. */
+/** A source that reports no era is in era 0, where positions equal revisions. */
 export function createPosition (era: number, revision: number): number {
   return era * REVISIONS_PER_ERA + revision
 }
@@ -22,7 +23,7 @@
   return position % REVISIONS_PER_ERA
 }
 
-/** For logs and people. */
+/** Formats a position for logs. */
 export function formatPosition (position: number): string {
   const era = readEra(position)
   return era === 0 ? String(position) : `${era}:${readRevision(position)}`
--- a/src/services/feed/test/silentFeeder.test.ts
+++ b/src/services/feed/test/silentFeeder.test.ts
@@ -1,5 +1,6 @@
 /**
- * A feeder that is nobody's neighbour is probed by nobody, so a link to it that went silent has to be found here.
+ * Guards against readers that keep a stalled link to a feeder. Members only probe their neighbours, so the feed itself has to
+ * detect a stalled link to a feeder that is not a neighbour.
  */
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -19,18 +20,18 @@
 const MEMBERS = Array.from({ length: 8 }, (_, index) => ({ address: `10.0.0.${index}:1`, hall: `h${index % 2}` }))
 const MAX_WAIT_MS = 6000
 
-/** Links whose feeders answer or stay silent. */
+/** Links whose feeders all send the same answer, or none. */
 class FakeLinks implements IFeedLinks {
   private readonly _onDidReceive = new Emitter<PeerMessage>()
   readonly onDidReceive = this._onDidReceive.event
   readonly dropped: string[] = []
-  readonly asked: string[] = []
+  readonly connected: string[] = []
 
   constructor (private readonly _answer: WireMessage | undefined) {}
 
   connect (address: string): Promise<PeerLink | undefined> {
     const link = { peerAddress: address, send: () => this._sendAnswer(link) } as unknown as PeerLink
-    this.asked.push(address)
+    this.connected.push(address)
     return Promise.resolve(link)
   }
 
@@ -45,7 +46,7 @@
   }
 }
 
-async function runWith (answer: WireMessage | undefined, run: (links: FakeLinks, feed: FeedService, feeders: readonly string[]) => Promise<void>): Promise<void> {
+async function runWithFeeders (answer: WireMessage | undefined, run: (links: FakeLinks, feed: FeedService, feeders: readonly string[]) => Promise<void>): Promise<void> {
   const feeders = listFeeders(MEMBERS)
   const own = MEMBERS.find(member => chooseFeeders(member, feeders).length > 0) ?? { address: '', hall: '' }
   const links = new FakeLinks(answer)
@@ -58,14 +59,14 @@
   }
 }
 
-test('a feeder that does not answer is asked over a new link, though nobody probes it', () => runWith(undefined, async (links, feed, feeders) => {
+test('the link to a feeder that does not answer is replaced, although no member probes it', () => runWithFeeders(undefined, async (links, feed, feeders) => {
   assert.ok(await waitUntil(() => feeders.every(address => links.dropped.includes(address)), MAX_WAIT_MS), 'the links were kept')
   assert.not(feed.isFed)
 }))
 
-test('the link to a feeder that says that it lost the source is kept', () => runWith({ kind: 'feedLost' }, async links => {
+test('the link to a feeder that reports the loss of the source is kept', () => runWithFeeders({ kind: 'feedLost' }, async links => {
   assert.not(await waitUntil(() => links.dropped.length > 0, MAX_WAIT_MS - 1500))
-  assert.ok(links.asked.length > 4)
+  assert.ok(links.connected.length > 4)
 }))
 
 test.run()
--- a/src/services/health/common/healthTracker.ts
+++ b/src/services/health/common/healthTracker.ts
@@ -1,17 +1,17 @@
 /**
- * Passive health of one upstream: failing ones are ejected for a while, then probed with one call.
+ * Passive health checking of one upstream: a failing upstream is ejected for some time, then probed with one call.
  */
 
 export type HealthState = 'healthy' | 'ejected' | 'probing'
 
 export abstract class HealthTracker {
   abstract getState (now: number): HealthState
-  /** Until when the upstream is ejected, on the process's clock. */
+  /** Until when the upstream is ejected, in milliseconds on this process's clock; 0 if it is healthy. */
   abstract get ejectedUntil (): number
   abstract record (isOk: boolean, now: number): void
 }
 
-/** Baseline: every upstream is healthy. */
+/** Baseline for comparisons: considers every upstream healthy. */
 export class TrustingTracker extends HealthTracker {
   readonly ejectedUntil = 0
 
@@ -23,33 +23,33 @@
 }
 
 export interface EjectingTrackerOptions {
-  /** Failures in a row that eject. */
-  readonly maxFailuresInRow?: number
-  /** The share of failed calls, smoothed, that ejects. */
-  readonly maxFailureShare?: number
-  /** The first ejection; each further one without a success between lasts twice as long. */
+  /** Number of consecutive failures that causes an ejection. */
+  readonly maxConsecutiveFailures?: number
+  /** Smoothed fraction of failed calls above which the upstream is ejected. */
+  readonly maxFailureRate?: number
+  /** Duration of the first ejection; each further one without a success in between lasts twice as long. */
   readonly firstEjectionMs?: number
   readonly maxEjectionMs?: number
 }
 
-const SMOOTHING = 0.2
+const SMOOTHING_FACTOR = 0.2
 const MIN_SAMPLES = 6
 
 export class EjectingTracker extends HealthTracker {
-  private readonly _maxFailuresInRow: number
-  private readonly _maxFailureShare: number
+  private readonly _maxConsecutiveFailures: number
+  private readonly _maxFailureRate: number
   private readonly _firstEjectionMs: number
   private readonly _maxEjectionMs: number
-  private _failuresInRow = 0
-  private _failureShare = 0
-  private _samples = 0
-  private _ejections = 0
+  private _consecutiveFailures = 0
+  private _failureRate = 0
+  private _sampleCount = 0
+  private _ejectionCount = 0
   private _ejectedUntil = 0
 
   constructor (options: EjectingTrackerOptions = {}) {
     super()
-    this._maxFailuresInRow = options.maxFailuresInRow ?? 3
-    this._maxFailureShare = options.maxFailureShare ?? 0.4
+    this._maxConsecutiveFailures = options.maxConsecutiveFailures ?? 3
+    this._maxFailureRate = options.maxFailureRate ?? 0.4
     this._firstEjectionMs = options.firstEjectionMs ?? 1000
     this._maxEjectionMs = options.maxEjectionMs ?? 16_000
   }
@@ -66,25 +66,25 @@
   record (isOk: boolean, now: number): void {
     const state = this.getState(now)
     if (state === 'probing') return isOk ? this._restore() : this._eject(now)
-    this._samples++
-    this._failuresInRow = isOk ? 0 : this._failuresInRow + 1
-    this._failureShare += SMOOTHING * ((isOk ? 0 : 1) - this._failureShare)
+    this._sampleCount++
+    this._consecutiveFailures = isOk ? 0 : this._consecutiveFailures + 1
+    this._failureRate += SMOOTHING_FACTOR * ((isOk ? 0 : 1) - this._failureRate)
     if (state === 'ejected') return
-    const failsOften = this._samples >= MIN_SAMPLES && this._failureShare > this._maxFailureShare
-    if (this._failuresInRow >= this._maxFailuresInRow || failsOften) this._eject(now)
+    const hasHighFailureRate = this._sampleCount >= MIN_SAMPLES && this._failureRate > this._maxFailureRate
+    if (this._consecutiveFailures >= this._maxConsecutiveFailures || hasHighFailureRate) this._eject(now)
   }
 
   private _eject (now: number): void {
-    this._ejectedUntil = now + Math.min(this._maxEjectionMs, this._firstEjectionMs * 2 ** this._ejections)
-    this._ejections++
+    this._ejectedUntil = now + Math.min(this._maxEjectionMs, this._firstEjectionMs * 2 ** this._ejectionCount)
+    this._ejectionCount++
   }
 
   private _restore (): void {
     this._ejectedUntil = 0
-    this._failuresInRow = 0
-    this._failureShare = 0
-    this._samples = 0
-    // The next ejection stays long for an upstream that fails soon again.
-    this._ejections = Math.max(0, this._ejections - 1)
+    this._consecutiveFailures = 0
+    this._failureRate = 0
+    this._sampleCount = 0
+    // Decremented instead of reset, so that the next ejection stays long if the upstream soon fails again.
+    this._ejectionCount = Math.max(0, this._ejectionCount - 1)
   }
 }
--- a/src/services/quarantine/common/crashEvidence.ts
+++ b/src/services/quarantine/common/crashEvidence.ts
@@ -1,106 +1,108 @@
 /**
- * Which requests end the upstreams that run them, judged from the runs that were under way when upstreams ended. Pure.
+ * Determines which requests crash the upstreams that run them, from the runs that were in flight when upstreams crashed.
+ * Pure functions.
  *
- * An end alone proves little: all that ran there was lost with it. A request is guilty when it was there time after
- * time, at upstreams that no other guilty request can have ended.
+ * A single crash proves little, because every run in flight there was lost with it. A request is considered the cause when
+ * it was in flight at several crashes that no other crashing request explains.
  */
 
-/** A run that was under way at an upstream when that ended. */
-export interface EndedRun {
-  /** What the tries of one request have in common. */
+/** A run that was in flight at an upstream when the upstream crashed. */
+export interface CrashedRun {
+  /** Identical for all attempts of one request. */
   readonly digest: string
   readonly bodyBytes: number
-  /** The boot that ended. */
+  /** The id of the upstream instance that crashed. */
   readonly upstream: string
-  /** Both on this process's clock, in milliseconds. */
+  /** `sentAt` and `endedAt` are in milliseconds on this process's clock. */
   readonly sentAt: number
   readonly endedAt: number
 }
 
-/** Upstreams that a request may end before it is no longer sent. One more costs all that runs there. */
+/** Crashes after which a request is no longer sent. Each further crash would lose every run in flight at that upstream. */
 export const MAX_ENDS = 3
 /**
- * Ends that convict a request which was answered since an earlier one. Either it was beside what others did, or its
- * upstreams' software has changed; the second is rare, and costs three more upstreams.
+ * The limit for a request that was answered after an earlier crash. Either other requests caused those crashes, or the
+ * upstreams' software has changed since; the latter is rare and costs three more upstreams.
  */
-const MAX_ENDS_ONCE_SERVED = 2 * MAX_ENDS
-/** Times of other nodes come in whole milliseconds, and later by the way that they took. */
-const CLOCK_SLACK_MS = 5
-/** So many ends convict a request even where another was at all of them too. */
-const MAX_SHARED_ENDS = 4
+const MAX_CRASHES_IF_SERVED = 2 * MAX_ENDS
+/** Times received from other nodes are rounded to milliseconds and delayed by the network. */
+const CLOCK_TOLERANCE_MS = 5
+/** With this many crashes a request is considered the cause even if another request was in flight at all of them. */
+const MAX_SHARED_CRASHES = 4
 
 /**
- * Ends that came one after another: each run was sent when the one before had ended. A request that many callers send
- * at once may be at several upstreams that lose power together; that counts once.
+ * Counts crashes that followed one another, each run having been sent after the previous crash. A request that many callers
+ * send concurrently may be in flight at several upstreams that lose power together; this counts as one crash.
  */
-export function countSeparateEnds (runs: readonly EndedRun[]): number {
+export function countSeparateCrashes (runs: readonly CrashedRun[]): number {
   let count = 0
   let lastEndedAt = -Infinity
   for (const run of [...runs].sort((a, b) => a.endedAt - b.endedAt)) {
-    if (run.sentAt < lastEndedAt - CLOCK_SLACK_MS || run.endedAt <= lastEndedAt + CLOCK_SLACK_MS) continue
+    if (run.sentAt < lastEndedAt - CLOCK_TOLERANCE_MS || run.endedAt <= lastEndedAt + CLOCK_TOLERANCE_MS) continue
     count++
     lastEndedAt = run.endedAt
   }
   return count
 }
 
-/** Verdict on all digests that were at some end. */
-export interface Verdict {
-  readonly guilty: ReadonlySet<string>
-  /** Upstreams whose end a guilty request explains: they speak against nobody else. */
-  readonly explained: ReadonlySet<string>
+/** The result for all digests that were in flight at a crash. */
+export interface CrashAnalysis {
+  readonly crashingDigests: ReadonlySet<string>
+  /** Upstreams whose crash is attributed to a crashing request; they do not count against other requests. */
+  readonly explainedUpstreams: ReadonlySet<string>
 }
 
-/** Requests that may be convicted next, and by how many ends. */
-interface Candidates {
-  readonly mayBe: (digest: string) => boolean
-  readonly minEnds: number
+/** Which requests are considered as a cause, and how many crashes are required. */
+interface CandidateRule {
+  readonly isCandidate: (digest: string) => boolean
+  readonly minCrashes: number
 }
 
-type Evidence = ReadonlyMap<string, readonly EndedRun[]>
+type Evidence = ReadonlyMap<string, readonly CrashedRun[]>
 
-/** The runs that no guilty request explains. */
-export function listUnexplained (runs: readonly EndedRun[], explained: ReadonlySet<string>): readonly EndedRun[] {
-  return runs.filter(run => !explained.has(run.upstream))
+/** The runs at upstreams whose crash is not attributed to a crashing request. */
+export function listUnexplainedRuns (runs: readonly CrashedRun[], explainedUpstreams: ReadonlySet<string>): readonly CrashedRun[] {
+  return runs.filter(run => !explainedUpstreams.has(run.upstream))
 }
 
 /**
- * Convicts one request after the other, the one with the most ends first, since each conviction clears others. Those
- * that were answered since an end under them come last: a popular one may be beside more ends than any guilty one.
+ * Identifies one crashing request at a time, the one with the most crashes first, because each one found explains crashes of
+ * others. Requests that were answered after a crash come last: a frequent request may be in flight at more crashes than any
+ * request that causes them.
  */
-export function decideGuilt (evidence: Evidence, served: ReadonlySet<string> = new Set()): Verdict {
-  const guilty = new Set<string>()
-  const explained = new Set<string>()
+export function findCrashingRequests (evidence: Evidence, served: ReadonlySet<string> = new Set()): CrashAnalysis {
+  const crashingDigests = new Set<string>()
+  const explainedUpstreams = new Set<string>()
   for (;;) {
-    const isSuspect = (digest: string) => !guilty.has(digest) && !served.has(digest)
-    const isServed = (digest: string) => !guilty.has(digest) && served.has(digest)
-    const verdict = { guilty, explained }
-    const next = findGuiltiest(evidence, verdict, { mayBe: isSuspect, minEnds: MAX_ENDS }) ?? findGuiltiest(evidence, verdict, { mayBe: isServed, minEnds: MAX_ENDS_ONCE_SERVED })
-    if (next === undefined) return { guilty, explained }
-    guilty.add(next)
-    for (const run of evidence.get(next) ?? []) explained.add(run.upstream)
+    const isSuspect = (digest: string) => !crashingDigests.has(digest) && !served.has(digest)
+    const isServed = (digest: string) => !crashingDigests.has(digest) && served.has(digest)
+    const analysis = { crashingDigests, explainedUpstreams }
+    const next = findLikeliestCause(evidence, analysis, { isCandidate: isSuspect, minCrashes: MAX_ENDS }) ?? findLikeliestCause(evidence, analysis, { isCandidate: isServed, minCrashes: MAX_CRASHES_IF_SERVED })
+    if (next === undefined) return { crashingDigests, explainedUpstreams }
+    crashingDigests.add(next)
+    for (const run of evidence.get(next) ?? []) explainedUpstreams.add(run.upstream)
   }
 }
 
-function findGuiltiest (evidence: Evidence, { guilty, explained }: Verdict, { mayBe, minEnds }: Candidates): string | undefined {
-  let best: { readonly digest: string, readonly ends: number } | undefined
-  for (const [digest, all] of evidence) {
-    if (!mayBe(digest)) continue
-    const runs = listUnexplained(all, explained)
-    const ends = countSeparateEnds(runs)
-    if (ends < minEnds || (best !== undefined && ends <= best.ends)) continue
-    if (ends >= MAX_SHARED_ENDS || !hasCompanion(digest, runs, evidence, guilty)) best = { digest, ends }
+function findLikeliestCause (evidence: Evidence, { crashingDigests, explainedUpstreams }: CrashAnalysis, { isCandidate, minCrashes }: CandidateRule): string | undefined {
+  let best: { readonly digest: string, readonly crashCount: number } | undefined
+  for (const [digest, allRuns] of evidence) {
+    if (!isCandidate(digest)) continue
+    const runs = listUnexplainedRuns(allRuns, explainedUpstreams)
+    const crashCount = countSeparateCrashes(runs)
+    if (crashCount < minCrashes || (best !== undefined && crashCount <= best.crashCount)) continue
+    if (crashCount >= MAX_SHARED_CRASHES || !hasOtherSuspect(digest, runs, evidence, crashingDigests)) best = { digest, crashCount }
   }
   return best?.digest
 }
 
-/** Whether another request was at all of the same ends, so that either may have caused them. */
-function hasCompanion (digest: string, runs: readonly EndedRun[], evidence: Evidence, guilty: ReadonlySet<string>): boolean {
+/** Whether another request was in flight at all of the same crashes, so that either may be the cause. */
+function hasOtherSuspect (digest: string, runs: readonly CrashedRun[], evidence: Evidence, crashingDigests: ReadonlySet<string>): boolean {
   const upstreams = runs.map(run => run.upstream)
   for (const [other, otherRuns] of evidence) {
-    if (other === digest || guilty.has(other)) continue
-    const places = new Set(otherRuns.map(run => run.upstream))
-    if (upstreams.every(upstream => places.has(upstream))) return true
+    if (other === digest || crashingDigests.has(other)) continue
+    const otherUpstreams = new Set(otherRuns.map(run => run.upstream))
+    if (upstreams.every(upstream => otherUpstreams.has(upstream))) return true
   }
   return false
 }
--- a/src/services/quarantine/common/quarantine.ts
+++ b/src/services/quarantine/common/quarantine.ts
@@ -1,32 +1,33 @@
 /**
- * What the relay asks before it sends a request, and tells after an upstream ended under one.
+ * The quarantine as used by the relay: checked before a request is sent, and updated after an upstream crashed while running
+ * a request.
  */
-import type { Standing } from './quarantineBook.ts'
+import type { CrashRecord } from './quarantineBook.ts'
 
-/** A run whose connection ended before its answer did. */
+/** A run whose connection was closed before its answer was complete. */
 export interface LostRun {
   readonly digest: string
   readonly bodyBytes: number
-  /** The boot that it was sent to. */
+  /** The id of the upstream instance that the run was sent to. */
   readonly upstream: string
   readonly address: string
-  /** Both on this process's clock, in milliseconds. */
+  /** `sentAt` and `endedAt` are in milliseconds on this process's clock. */
   readonly sentAt: number
   readonly endedAt: number
 }
 
-/** A request before its digest is known: making one costs time, and is rarely needed. */
+/** A request whose digest is computed on demand, because hashing the body is expensive and rarely needed. */
 export interface ISuspect {
   readonly bodyBytes: number
   getDigest (): string
 }
 
 export interface IQuarantineService {
-  judge (suspect: ISuspect): Standing
-  /** Resolves with whether the upstream is known to have ended; takes no longer than a connection to it. */
+  judge (requestDigest: ISuspect): CrashRecord
+  /** Resolves to whether the upstream is known to have crashed, within the time of one connection attempt to it. */
   noteLost (run: LostRun): Promise<boolean>
-  /** Counts a refusal, and says what it rests on. */
-  reportRefusal (requestId: string, suspect: ISuspect, standing: Standing): void
-  /** An upstream answered the request whole: it does not end what runs it. */
-  noteServed (suspect: ISuspect): void
+  /** Counts a refused request and logs the evidence for it. */
+  reportRefusal (requestId: string, requestDigest: ISuspect, record: CrashRecord): void
+  /** An upstream answered the request completely, so the request does not crash upstreams. */
+  noteServed (requestDigest: ISuspect): void
 }
--- a/src/services/quarantine/common/quarantineBook.ts
+++ b/src/services/quarantine/common/quarantineBook.ts
@@ -1,123 +1,123 @@
 /**
- * What this node knows of requests that were under way when upstreams ended, from its own runs and from its peers.
- * Bounded, and forgotten after a while.
+ * Tracks requests that were in flight when upstreams crashed, from this node's own runs and from its peers. The number of
+ * requests is bounded, and evidence expires.
  */
-import { countSeparateEnds, decideGuilt, listUnexplained } from './crashEvidence.ts'
-import type { EndedRun, Verdict } from './crashEvidence.ts'
+import { countSeparateCrashes, findCrashingRequests, listUnexplainedRuns } from './crashEvidence.ts'
+import type { CrashedRun, CrashAnalysis } from './crashEvidence.ts'
 
-/** What is held against a request. */
-export interface Standing {
-  /** Upstreams that ended under it one after another and whose end nothing else explains. */
+/** The crashes counted against one request. */
+export interface CrashRecord {
+  /** Successive crashes while the request was in flight that are not attributed to another request. */
   readonly ends: number
-  /** It is no longer sent. */
+  /** Whether the request is no longer sent. */
   readonly isQuarantined: boolean
   readonly upstreams: readonly string[]
-  /** When the last of them ended, on this process's clock. */
-  readonly lastEndedAt: number
+  /** Time of the last of these crashes, in milliseconds on this process's clock. */
+  readonly lastCrashAt: number
 }
 
-export const NO_STANDING: Standing = { ends: 0, isQuarantined: false, upstreams: [], lastEndedAt: -Infinity }
+export const NO_STANDING: CrashRecord = { ends: 0, isQuarantined: false, upstreams: [], lastCrashAt: -Infinity }
 
-/** A request that is no longer sent, as operators are told of it. */
-export interface QuarantinedRequest extends Standing {
+/** A quarantined request, as listed for operators. */
+export interface QuarantinedRequest extends CrashRecord {
   readonly digest: string
 }
 
 /**
- * Evidence is kept so long after the last end. Whoever mends an upstream's software restarts it within this, as a rule;
- * a request that still ends what runs it costs three more upstreams then.
+ * How long evidence is kept after the last crash. Operators usually deploy fixed upstream software within this time; a
+ * request that still crashes upstreams afterwards costs three more of them.
  */
-export const KEEP_EVIDENCE_MS = 600_000
-/** Requests that anything is held against; each needs an upstream that ended, so no flood of bodies can fill it. */
+export const EVIDENCE_RETENTION_MS = 600_000
+/** Maximum number of tracked requests. Each entry requires a crashed upstream, so many different bodies alone cannot fill it. */
 const MAX_DIGESTS = 2000
 
-export class QuarantineBook {
-  private readonly _runs = new Map<string, readonly EndedRun[]>()
+export class QuarantineTracker {
+  private readonly _runs = new Map<string, readonly CrashedRun[]>()
   private readonly _clearedAt = new Map<string, number>()
-  /** Requests that an upstream has answered since an end under them; forgotten when it is forgotten that they were cleared. */
+  /** Requests that an upstream answered after a crash; an entry expires together with its `_clearedAt` entry. */
   private readonly _served = new Set<string>()
   private _bodySizes: ReadonlySet<number> | undefined
-  private _verdict: Verdict | undefined
+  private _analysis: CrashAnalysis | undefined
 
   get isEmpty (): boolean {
     return this._runs.size === 0
   }
 
-  /** Whether anything is held against a request with so many bytes of body; digests cost time, lengths do not. */
-  holdsSize (bodyBytes: number): boolean {
+  /** Whether any tracked request has a body of this length. Spares computing digests, which is expensive. */
+  hasBodySize (bodyBytes: number): boolean {
     if (this.isEmpty) return false
     this._bodySizes ??= new Set([...this._runs.values()].flatMap(runs => runs.map(run => run.bodyBytes)))
     return this._bodySizes.has(bodyBytes)
   }
 
-  add (run: EndedRun): void {
+  addRun (run: CrashedRun): void {
     if (run.endedAt <= (this._clearedAt.get(run.digest) ?? -Infinity)) return
     const known = this._runs.get(run.digest) ?? []
     if (known.some(other => other.upstream === run.upstream)) return
-    if (known.length === 0 && this._runs.size >= MAX_DIGESTS) this._forgetLeast()
+    if (known.length === 0 && this._runs.size >= MAX_DIGESTS) this._evictLeastEvidence()
     this._runs.set(run.digest, [...known, run])
-    this._forgetVerdict()
+    this._invalidateCaches()
   }
 
-  /** Takes back what was held against a request until a moment, also what is told only later. */
+  /** Discards the evidence against a request up to `at`, including evidence that is reported only later. */
   clear (digest: string, at: number, { isServed = false } = {}): void {
     this._clearedAt.set(digest, at)
     if (isServed) this._served.add(digest)
     const runs = this._runs.get(digest)
-    if (runs !== undefined) this._keep(digest, runs.filter(run => run.endedAt > at))
+    if (runs !== undefined) this._setRuns(digest, runs.filter(run => run.endedAt > at))
   }
 
-  judge (digest: string): Standing {
+  getCrashRecord (digest: string): CrashRecord {
     const runs = this._runs.get(digest)
     if (runs === undefined) return NO_STANDING
-    const { guilty, explained } = this._getVerdict()
-    const isQuarantined = guilty.has(digest)
-    const counted = isQuarantined ? runs : listUnexplained(runs, explained)
+    const { crashingDigests, explainedUpstreams } = this._getAnalysis()
+    const isQuarantined = crashingDigests.has(digest)
+    const countedRuns = isQuarantined ? runs : listUnexplainedRuns(runs, explainedUpstreams)
     return {
-      ends: countSeparateEnds(counted),
+      ends: countSeparateCrashes(countedRuns),
       isQuarantined,
-      upstreams: counted.map(run => run.upstream),
-      lastEndedAt: Math.max(-Infinity, ...counted.map(run => run.endedAt))
+      upstreams: countedRuns.map(run => run.upstream),
+      lastCrashAt: Math.max(-Infinity, ...countedRuns.map(run => run.endedAt))
     }
   }
 
   listQuarantined (): readonly QuarantinedRequest[] {
-    return [...this._getVerdict().guilty].map(digest => ({ digest, ...this.judge(digest) }))
+    return [...this._getAnalysis().crashingDigests].map(digest => ({ digest, ...this.getCrashRecord(digest) }))
   }
 
-  /** Forgets requests under which nothing has ended for long. */
+  /** Removes requests without a recent crash. */
   expire (now: number): void {
-    for (const [digest, runs] of [...this._runs]) if (runs.every(run => now - run.endedAt > KEEP_EVIDENCE_MS)) this._keep(digest, [])
-    for (const [digest, at] of [...this._clearedAt]) if (now - at > KEEP_EVIDENCE_MS) this._forgetCleared(digest)
+    for (const [digest, runs] of [...this._runs]) if (runs.every(run => now - run.endedAt > EVIDENCE_RETENTION_MS)) this._setRuns(digest, [])
+    for (const [digest, at] of [...this._clearedAt]) if (now - at > EVIDENCE_RETENTION_MS) this._removeCleared(digest)
   }
 
-  private _forgetCleared (digest: string): void {
+  private _removeCleared (digest: string): void {
     this._clearedAt.delete(digest)
     this._served.delete(digest)
-    this._forgetVerdict()
+    this._invalidateCaches()
   }
 
-  private _keep (digest: string, runs: readonly EndedRun[]): void {
+  private _setRuns (digest: string, runs: readonly CrashedRun[]): void {
     if (runs.length === 0) this._runs.delete(digest)
     else this._runs.set(digest, runs)
-    this._forgetVerdict()
+    this._invalidateCaches()
   }
 
-  /** The oldest of those with the fewest ends: what is quarantined goes last. */
-  private _forgetLeast (): void {
+  /** Evicts the oldest of the requests with the fewest crashes, so that quarantined ones are evicted last. */
+  private _evictLeastEvidence (): void {
     const fewest = Math.min(...[...this._runs.values()].map(runs => runs.length))
     for (const [digest, runs] of this._runs) {
-      if (runs.length === fewest) return this._keep(digest, [])
+      if (runs.length === fewest) return this._setRuns(digest, [])
     }
   }
 
-  private _forgetVerdict (): void {
+  private _invalidateCaches (): void {
     this._bodySizes = undefined
-    this._verdict = undefined
+    this._analysis = undefined
   }
 
-  private _getVerdict (): Verdict {
-    this._verdict ??= decideGuilt(this._runs, this._served)
-    return this._verdict
+  private _getAnalysis (): CrashAnalysis {
+    this._analysis ??= findCrashingRequests(this._runs, this._served)
+    return this._analysis
   }
 }
--- a/src/services/quarantine/node/quarantineHandler.ts
+++ b/src/services/quarantine/node/quarantineHandler.ts
@@ -1,5 +1,5 @@
 /**
- * Lets operators see which requests are no longer sent, and send one again.
+ * Operator endpoint that lists quarantined requests and releases them.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { OperatorHandler } from '../../metrics/node/metricsServer.ts'
@@ -7,7 +7,7 @@
 
 export const QUARANTINE_PATH = '/quarantine'
 
-/** GET lists them; DELETE with a digest takes back, at all nodes, what is held against that request. */
+/** GET lists quarantined requests; DELETE with a digest discards the evidence against that request at all nodes. */
 export function createQuarantineHandler (quarantine: QuarantineService, clock: IClock): OperatorHandler {
   return {
     path: QUARANTINE_PATH,
@@ -20,5 +20,5 @@
 }
 
 function listRequests (quarantine: QuarantineService, now: number): readonly object[] {
-  return quarantine.listQuarantined().map(({ digest, ends, upstreams, lastEndedAt }) => ({ digest, ends, upstreams, last_end_age_ms: Math.round(now - lastEndedAt) }))
+  return quarantine.listQuarantined().map(({ digest, ends, upstreams, lastCrashAt }) => ({ digest, ends, upstreams, last_end_age_ms: Math.round(now - lastCrashAt) }))
 }
--- a/src/services/quarantine/node/quarantineService.ts
+++ b/src/services/quarantine/node/quarantineService.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps requests that end what runs them from being sent again, at any node. What one node sees of an end goes to all as
- * a fact, one of each node for each upstream, so that what they saw adds up; each node judges by itself from the same
- * facts.
+ * Prevents requests that crash upstreams from being sent again by any node. Each node publishes the runs that it lost at a
+ * crashed upstream as one fact per node and upstream, so that the observations of all nodes add up. Every node then decides
+ * independently from the same facts.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { Disposable } from '../../../base/common/disposable.ts'
@@ -12,8 +12,8 @@
 import type { ILogService } from '../../log/node/logger.ts'
 import type { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { IQuarantineService, ISuspect, LostRun } from '../common/quarantine.ts'
-import { NO_STANDING, QuarantineBook } from '../common/quarantineBook.ts'
-import type { QuarantinedRequest, Standing } from '../common/quarantineBook.ts'
+import { NO_STANDING, QuarantineTracker } from '../common/quarantineBook.ts'
+import type { CrashRecord, QuarantinedRequest } from '../common/quarantineBook.ts'
 import { probeUpstream } from './upstreamProbe.ts'
 import type { ProbeResult } from './upstreamProbe.ts'
 
@@ -22,175 +22,178 @@
   readonly log: ILogService
   readonly facts: FactStore
   readonly registry: UpstreamRegistry
-  /** This node, by its address. */
+  /** This node's address. */
   readonly node: string
-  /** Grows with each boot of the host. */
+  /** Increases with each start of the host. */
   readonly incarnation: number
   readonly probe?: (address: string) => Promise<ProbeResult>
 }
 
-/** An upstream to which a connection was lost, and what this node had there. */
+/** An upstream to which a connection was lost, with this node's runs there. */
 class LostUpstream {
   readonly runs: RunAtEnd[] = []
-  /** A later loss asks anew: the upstream was there, and may have ended since. */
-  isThere = false
+  /** Set if the probe did not prove a crash. The upstream may crash later, so the next lost connection starts a new probe. */
+  canProbeAgain = false
 
   constructor (readonly endedAt: number, readonly isEnded: Promise<boolean>) {
-    void isEnded.then(value => { this.isThere = !value })
+    void isEnded.then(value => { this.canProbeAgain = !value })
   }
 }
 
-/** The list of upstreams tells of an end within this where the upstream's host does not. */
-const MAX_LIST_MS = 6000
-/** A mass end of upstreams is no request's doing, and telling of each run would fill the links between nodes. */
-const MAX_TOLD_PER_SECOND = 8
-const MAX_RUNS_TOLD = 16
+/** An upstream whose host does not answer is removed from the list of upstreams within this time after its end. */
+const MAX_LIST_DELAY_MS = 6000
+/** Many crashes at once are not caused by a request, and publishing every run would saturate the links between nodes. */
+const MAX_REPORTS_PER_SECOND = 8
+const MAX_REPORTED_RUNS = 16
 const EXPIRE_PERIOD_MS = 10_000
-const DIGESTS_LOGGED = 4
+const MAX_LOGGED_DIGESTS = 4
 
 export class QuarantineService extends Disposable implements IQuarantineService {
   private readonly _options: QuarantineServiceOptions
-  private readonly _book = new QuarantineBook()
-  private readonly _lost = new Map<string, LostUpstream>()
-  private readonly _endedAt = new Map<string, number>()
-  private readonly _toldAt: number[] = []
-  /** Requests whose quarantine the log tells of. */
-  private _announced: ReadonlySet<string> = new Set()
-  private _isReportDue = false
+  private readonly _tracker = new QuarantineTracker()
+  private readonly _lostUpstreams = new Map<string, LostUpstream>()
+  private readonly _endedAtByUpstream = new Map<string, number>()
+  private readonly _reportTimes: number[] = []
+  /** Digests of the requests whose quarantine was logged. */
+  private _loggedDigests: ReadonlySet<string> = new Set()
+  private _isLogScheduled = false
   private _refusedCount = 0
 
   constructor (options: QuarantineServiceOptions) {
     super()
     this._options = options
-    this._register(options.facts.onDidChange(fact => this._takeFact(fact)))
+    this._register(options.facts.onDidChange(fact => this._processFact(fact)))
     this._register(startInterval(EXPIRE_PERIOD_MS, () => this._expire()))
   }
 
-  /** Requests refused since the start because of what earlier tries did. */
+  /** Requests refused since process start because they are quarantined. */
   get refusedCount (): number {
     return this._refusedCount
   }
 
-  /** Whether a node has seen that this boot ended, though it may still be listed. */
+  /** Whether any node has observed that this upstream instance ended, although it may still be listed. */
   hasEnded (upstream: string): boolean {
-    return this._endedAt.has(upstream)
+    return this._endedAtByUpstream.has(upstream)
   }
 
-  judge (suspect: ISuspect): Standing {
-    return this._book.holdsSize(suspect.bodyBytes) ? this._book.judge(suspect.getDigest()) : NO_STANDING
+  judge (requestDigest: ISuspect): CrashRecord {
+    return this._tracker.hasBodySize(requestDigest.bodyBytes) ? this._tracker.getCrashRecord(requestDigest.getDigest()) : NO_STANDING
   }
 
   async noteLost (run: LostRun): Promise<boolean> {
     const entry = this._options.registry.get(run.upstream)
-    // What leaves as planned may end with work on it.
+    // An upstream that leaves as planned may stop with runs in flight.
     if (entry === undefined || entry.isLeaving) return false
-    const lost = this._getLost(run)
+    const lost = this._getLostUpstream(run)
     lost.runs.push({ digest: run.digest, bodyBytes: run.bodyBytes, sentBeforeMs: Math.max(0, Math.round(lost.endedAt - run.sentAt)) })
     const isEnded = await lost.isEnded
-    if (isEnded && !this._isDisposed) this._share(run.upstream, lost)
+    if (isEnded && !this._isDisposed) this._publishEnd(run.upstream, lost)
     return isEnded
   }
 
-  noteServed (suspect: ISuspect): void {
-    const digest = this._book.holdsSize(suspect.bodyBytes) ? suspect.getDigest() : undefined
-    if (digest !== undefined && this._book.judge(digest).upstreams.length > 0) this.clear(digest, 'served')
+  noteServed (requestDigest: ISuspect): void {
+    const digest = this._tracker.hasBodySize(requestDigest.bodyBytes) ? requestDigest.getDigest() : undefined
+    if (digest !== undefined && this._tracker.getCrashRecord(digest).upstreams.length > 0) this.clear(digest, 'served')
   }
 
-  reportRefusal (requestId: string, suspect: ISuspect, { ends, upstreams, lastEndedAt }: Standing): void {
+  reportRefusal (requestId: string, requestDigest: ISuspect, { ends, upstreams, lastCrashAt }: CrashRecord): void {
     this._refusedCount++
-    const evidenceAgeMs = Math.round(this._options.clock.now() - lastEndedAt)
-    this._options.log.warn('request_quarantined', { request: requestId, digest: suspect.getDigest(), ends, upstreams: upstreams.join(), evidence_age_ms: evidenceAgeMs })
+    const evidenceAgeMs = Math.round(this._options.clock.now() - lastCrashAt)
+    this._options.log.warn('request_quarantined', { request: requestId, digest: requestDigest.getDigest(), ends, upstreams: upstreams.join(), evidence_age_ms: evidenceAgeMs })
   }
 
   listQuarantined (): readonly QuarantinedRequest[] {
-    return this._book.listQuarantined()
+    return this._tracker.listQuarantined()
   }
 
-  /** Takes back, at all nodes, what is held against a request so far; false where nothing is. */
+  /** Discards the evidence against a request at all nodes; returns false if there is none. */
   clear (digest: string, reason: 'served' | 'operator'): boolean {
     const { facts, log } = this._options
-    if (this._book.judge(digest).upstreams.length === 0) return false
+    if (this._tracker.getCrashRecord(digest).upstreams.length === 0) return false
     const subject = formatClearedSubject(digest)
     const held = facts.get(subject)
     log.info('evidence_cleared', { digest, reason })
     return facts.merge({ subject, incarnation: 1, counter: (held?.counter ?? 0) + 1, value: { kind: 'cleared', digest, isServed: reason === 'served' }, ageMs: 0 })
   }
 
-  private _getLost (run: LostRun): LostUpstream {
-    const known = this._lost.get(run.upstream)
-    if (known !== undefined && !known.isThere) return known
-    const lost = new LostUpstream(run.endedAt, this._findEnd(run))
-    this._lost.set(run.upstream, lost)
+  private _getLostUpstream (run: LostRun): LostUpstream {
+    const known = this._lostUpstreams.get(run.upstream)
+    if (known !== undefined && !known.canProbeAgain) return known
+    const lost = new LostUpstream(run.endedAt, this._checkEnded(run))
+    this._lostUpstreams.set(run.upstream, lost)
     return lost
   }
 
-  private async _findEnd ({ upstream, address }: LostRun): Promise<boolean> {
+  private async _checkEnded ({ upstream, address }: LostRun): Promise<boolean> {
     const result = await (this._options.probe ?? probeUpstream)(address)
     this._options.log.info('upstream_lost', { upstream, address, connection: result })
-    if (result === 'silent' && !this._isDisposed) this._watchList(upstream)
+    if (result === 'silent' && !this._isDisposed) this._watchRegistry(upstream)
     return result === 'refused'
   }
 
-  /** A host that lost power refuses nothing; its upstream is taken out of the list some time later. */
-  private _watchList (upstream: string): void {
+  /** A host without power does not refuse connections; its upstream is removed from the list some time later. */
+  private _watchRegistry (upstream: string): void {
     const { clock, registry } = this._options
     const watch = this._register(registry.onDidChange(({ kind, entry }) => {
-      const lost = this._lost.get(upstream)
-      if (kind === 'dropped' && entry.id === upstream && !entry.isLeaving && lost !== undefined) this._share(upstream, lost)
+      const lost = this._lostUpstreams.get(upstream)
+      if (kind === 'dropped' && entry.id === upstream && !entry.isLeaving && lost !== undefined) this._publishEnd(upstream, lost)
     }))
-    clock.schedule(MAX_LIST_MS, () => this._release(watch))
+    clock.schedule(MAX_LIST_DELAY_MS, () => this._release(watch))
   }
 
-  private _share (upstream: string, { endedAt, runs }: LostUpstream): void {
+  private _publishEnd (upstream: string, { endedAt, runs }: LostUpstream): void {
     const { clock, facts, log, node, incarnation } = this._options
-    const told = runs.slice(-MAX_RUNS_TOLD)
+    const reported = runs.slice(-MAX_REPORTED_RUNS)
     const subject = formatEndedSubject(upstream, node)
     const isKnown = facts.get(subject) !== undefined
-    if (!isKnown && !this._mayTell()) return
-    if (!isKnown) log.warn('upstream_ended', { upstream, runs: runs.length, digests: told.slice(0, DIGESTS_LOGGED).map(run => run.digest).join() })
-    facts.merge({ subject, incarnation, counter: runs.length, value: { kind: 'ended', upstream, runs: told }, ageMs: Math.max(0, Math.round(clock.now() - endedAt)) })
+    if (!isKnown && !this._acquireReportSlot()) return
+    if (!isKnown) log.warn('upstream_ended', { upstream, runs: runs.length, digests: reported.slice(0, MAX_LOGGED_DIGESTS).map(run => run.digest).join() })
+    facts.merge({ subject, incarnation, counter: runs.length, value: { kind: 'ended', upstream, runs: reported }, ageMs: Math.max(0, Math.round(clock.now() - endedAt)) })
   }
 
-  private _mayTell (): boolean {
+  private _acquireReportSlot (): boolean {
     const now = this._options.clock.now()
-    while (this._toldAt.length > 0 && now - (this._toldAt[0] ?? 0) > 1000) this._toldAt.shift()
-    if (this._toldAt.length >= MAX_TOLD_PER_SECOND) return false
-    this._toldAt.push(now)
+    while (this._reportTimes.length > 0 && now - (this._reportTimes[0] ?? 0) > 1000) this._reportTimes.shift()
+    if (this._reportTimes.length >= MAX_REPORTS_PER_SECOND) return false
+    this._reportTimes.push(now)
     return true
   }
 
-  private _takeFact ({ value, observedAt }: HeldFact): void {
+  private _processFact ({ value, observedAt }: HeldFact): void {
     if (value.kind !== 'ended' && value.kind !== 'cleared') return
-    this._scheduleReport()
-    if (value.kind === 'cleared') return this._book.clear(value.digest, observedAt, { isServed: value.isServed })
-    this._endedAt.set(value.upstream, observedAt)
+    this._scheduleQuarantineLog()
+    if (value.kind === 'cleared') return this._tracker.clear(value.digest, observedAt, { isServed: value.isServed })
+    this._endedAtByUpstream.set(value.upstream, observedAt)
     for (const { digest, bodyBytes, sentBeforeMs } of value.runs) {
-      this._book.add({ digest, bodyBytes, upstream: value.upstream, sentAt: observedAt - sentBeforeMs, endedAt: observedAt })
+      this._tracker.addRun({ digest, bodyBytes, upstream: value.upstream, sentAt: observedAt - sentBeforeMs, endedAt: observedAt })
     }
   }
 
-  /** Facts come by the frame; each verdict looks at all evidence, and one between two facts may not last. */
-  private _scheduleReport (): void {
-    if (this._isReportDue) return
-    this._isReportDue = true
+  /**
+   * Facts arrive in batches. The analysis covers all evidence, so it runs once after a batch; a result between two facts of
+   * it may be outdated by the second one.
+   */
+  private _scheduleQuarantineLog (): void {
+    if (this._isLogScheduled) return
+    this._isLogScheduled = true
     queueMicrotask(() => {
-      this._isReportDue = false
-      if (!this._isDisposed) this._reportQuarantined()
+      this._isLogScheduled = false
+      if (!this._isDisposed) this._logQuarantined()
     })
   }
 
-  private _reportQuarantined (): void {
-    const requests = this._book.listQuarantined()
+  private _logQuarantined (): void {
+    const requests = this._tracker.listQuarantined()
     for (const { digest, ends, upstreams } of requests) {
-      if (!this._announced.has(digest)) this._options.log.warn('quarantine_began', { digest, ends, upstreams: upstreams.join() })
+      if (!this._loggedDigests.has(digest)) this._options.log.warn('quarantine_began', { digest, ends, upstreams: upstreams.join() })
     }
-    this._announced = new Set(requests.map(request => request.digest))
+    this._loggedDigests = new Set(requests.map(request => request.digest))
   }
 
   private _expire (): void {
     const now = this._options.clock.now()
-    this._book.expire(now)
-    for (const [upstream, { endedAt }] of [...this._lost]) if (now - endedAt > MAX_LIST_MS) this._lost.delete(upstream)
-    for (const [upstream, at] of [...this._endedAt]) if (now - at > MAX_LIST_MS) this._endedAt.delete(upstream)
+    this._tracker.expire(now)
+    for (const [upstream, { endedAt }] of [...this._lostUpstreams]) if (now - endedAt > MAX_LIST_DELAY_MS) this._lostUpstreams.delete(upstream)
+    for (const [upstream, at] of [...this._endedAtByUpstream]) if (now - at > MAX_LIST_DELAY_MS) this._endedAtByUpstream.delete(upstream)
   }
 }
--- a/src/services/quarantine/node/requestDigest.ts
+++ b/src/services/quarantine/node/requestDigest.ts
@@ -1,6 +1,6 @@
 /**
- * What the tries of one request have in common. Callers give each try an id of its own, and deadlines and trace headers
- * differ between tries as well; where it goes, whose it is and its body do not.
+ * Computes a digest that is identical for all attempts of one request. Request ids, deadlines and trace headers differ between
+ * attempts and are left out; target, customer and body do not differ.
  */
 import { hashParts } from '../../../base/node/digest.ts'
 
@@ -13,7 +13,7 @@
   readonly body: Uint8Array
 }
 
-/** 128 bits: nobody can make a request that has the digest of another's. */
+/** Hexadecimal digits, 128 bits: a caller cannot construct a request with the digest of another's request. */
 const DIGEST_DIGITS = 32
 
 export function digestRequest ({ method, host, target, customer = '', body }: RequestIdentity): string {
--- a/src/services/quarantine/node/upstreamProbe.ts
+++ b/src/services/quarantine/node/upstreamProbe.ts
@@ -1,13 +1,13 @@
 /**
- * Tells an upstream that has ended from a connection that was lost on its way.
+ * Probes an upstream after a lost connection, to distinguish a crash from a network failure.
  */
 import { connect } from 'node:net'
 import { parseAddress } from '../../../base/common/address.ts'
 
-/** Refused: nothing listens there any more. Silent: neither the upstream nor its host answers. */
+/** Refused: no process listens at the address any more. Silent: neither the upstream nor its host answers. */
 export type ProbeResult = 'accepted' | 'refused' | 'silent'
 
-/** An upstream that is there accepts a connection within this; one behind a broken link says nothing either way. */
+/** A running upstream accepts a connection within this time. Beyond it, a crash and a broken link cannot be distinguished. */
 const PROBE_TIMEOUT_MS = 200
 
 export function probeUpstream (address: string): Promise<ProbeResult> {
@@ -15,13 +15,13 @@
   if (target === undefined) return Promise.resolve('silent')
   return new Promise(resolve => {
     const socket = connect({ host: target.host, port: target.port })
-    const settle = (result: ProbeResult) => {
+    const finish = (result: ProbeResult) => {
       clearTimeout(timer)
       socket.destroy()
       resolve(result)
     }
-    const timer = setTimeout(() => settle('silent'), PROBE_TIMEOUT_MS)
-    socket.once('connect', () => settle('accepted'))
-    socket.once('error', error => settle((error as NodeJS.ErrnoException).code === 'ECONNREFUSED' ? 'refused' : 'silent'))
+    const timer = setTimeout(() => finish('silent'), PROBE_TIMEOUT_MS)
+    socket.once('connect', () => finish('accepted'))
+    socket.once('error', error => finish((error as NodeJS.ErrnoException).code === 'ECONNREFUSED' ? 'refused' : 'silent'))
   })
 }
--- a/src/services/quarantine/test/crashEvidence.test.ts
+++ b/src/services/quarantine/test/crashEvidence.test.ts
@@ -1,68 +1,68 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { countSeparateEnds, decideGuilt } from '../common/crashEvidence.ts'
-import type { EndedRun } from '../common/crashEvidence.ts'
+import { countSeparateCrashes, findCrashingRequests } from '../common/crashEvidence.ts'
+import type { CrashedRun } from '../common/crashEvidence.ts'
 
 const test = suite('crashEvidence')
 
 /** A run of a request at an upstream; times in seconds. */
-function createRun (digest: string, upstream: string, sentS: number, endedS: number): EndedRun {
+function createRun (digest: string, upstream: string, sentS: number, endedS: number): CrashedRun {
   return { digest, bodyBytes: 9, upstream, sentAt: sentS * 1000, endedAt: endedS * 1000 }
 }
 
-/** Each text names the requests that were at one end; ends come a second apart, and runs last for half of one. */
-function decide (...ends: readonly string[]): string {
-  return decideBeside('', ...ends)
+/** Each string lists the requests in flight at one crash, one letter each. Crashes are 1 s apart, and runs take 0.5 s. */
+function findCrashing (...crashes: readonly string[]): string {
+  return findCrashingWithServed('', ...crashes)
 }
 
-/** As `decide`, where some requests were answered after an end under them. */
-function decideBeside (served: string, ...ends: readonly string[]): string {
-  const evidence = new Map<string, EndedRun[]>()
-  for (const [index, present] of ends.entries()) {
-    for (const digest of present) evidence.set(digest, [...evidence.get(digest) ?? [], createRun(digest, `u${index}`, index, index + 0.5)])
+/** Like `findCrashing`, with requests that were answered after a crash. */
+function findCrashingWithServed (served: string, ...crashes: readonly string[]): string {
+  const evidence = new Map<string, CrashedRun[]>()
+  for (const [index, digests] of crashes.entries()) {
+    for (const digest of digests) evidence.set(digest, [...evidence.get(digest) ?? [], createRun(digest, `u${index}`, index, index + 0.5)])
   }
-  return [...decideGuilt(evidence, new Set(served)).guilty].sort().join('')
+  return [...findCrashingRequests(evidence, new Set(served)).crashingDigests].sort().join('')
 }
 
-test('a request at three ends, one after the other, is guilty; those beside it are not', () => {
-  assert.is(decide('gabc', 'gdc', 'gae'), 'g')
-  assert.is(decide('ga', 'gb'), '')
+test('a request in flight at three successive crashes is found to cause them; other requests in flight there are not', () => {
+  assert.is(findCrashing('gabc', 'gdc', 'gae'), 'g')
+  assert.is(findCrashing('ga', 'gb'), '')
 })
 
-test('what a guilty request explains speaks against nobody else, however often they were there', () => {
-  assert.is(decide('ga', 'g', 'ga', 'ga'), 'g')
-  assert.is(decide('gi', 'gi', 'g', 'gi', 'i'), 'g')
+test('crashes attributed to one request do not count against others, however often they were in flight there', () => {
+  assert.is(findCrashing('ga', 'g', 'ga', 'ga'), 'g')
+  assert.is(findCrashing('gi', 'gi', 'g', 'gi', 'i'), 'g')
 })
 
-test('two that are guilty are both found; an end at which both were counts for one of them', () => {
-  assert.is(decide('g', 'gh', 'g', 'h', 'h', 'h'), 'h')
-  assert.is(decide('g', 'gh', 'g', 'h', 'h', 'h', 'g'), 'gh')
+test('two crashing requests are both found; a crash with both in flight counts for one of them', () => {
+  assert.is(findCrashing('g', 'gh', 'g', 'h', 'h', 'h'), 'h')
+  assert.is(findCrashing('g', 'gh', 'g', 'h', 'h', 'h', 'g'), 'gh')
 })
 
-test('where two were at the same three ends, neither is held guilty until an end tells them apart', () => {
-  assert.is(decide('gi', 'gi', 'gi'), '')
-  assert.is(decide('gi', 'gi', 'gi', 'g'), 'g')
-  assert.is(decide('gi', 'gi', 'gi', 'i'), 'i')
+test('two requests in flight at the same three crashes are not distinguished until a further crash with only one of them', () => {
+  assert.is(findCrashing('gi', 'gi', 'gi'), '')
+  assert.is(findCrashing('gi', 'gi', 'gi', 'g'), 'g')
+  assert.is(findCrashing('gi', 'gi', 'gi', 'i'), 'i')
 })
 
-test('a request that was answered since is not taken for what ended upstreams beside it, however often it was there', () => {
-  assert.is(decideBeside('p', 'gp', 'gp', 'g', 'hp', 'hp', 'h'), 'gh')
-  assert.is(decideBeside('p', 'gp', 'hp', 'ip', 'jp', 'kp'), '')
-  assert.is(decideBeside('p', 'p', 'p', 'p', 'p', 'p'), '')
-  // It may have begun to, as when upstreams got other software.
-  assert.is(decideBeside('p', 'p', 'p', 'p', 'p', 'p', 'p'), 'p')
+test('a request that was answered after a crash is not considered the cause of crashes of other requests, however often it was in flight', () => {
+  assert.is(findCrashingWithServed('p', 'gp', 'gp', 'g', 'hp', 'hp', 'h'), 'gh')
+  assert.is(findCrashingWithServed('p', 'gp', 'hp', 'ip', 'jp', 'kp'), '')
+  assert.is(findCrashingWithServed('p', 'p', 'p', 'p', 'p', 'p'), '')
+  // The request may crash upstreams since a change of their software.
+  assert.is(findCrashingWithServed('p', 'p', 'p', 'p', 'p', 'p', 'p'), 'p')
 })
 
-test('upstreams that end together count once for a request that many callers send', () => {
+test('simultaneous crashes count once for a request that many callers send', () => {
   const together = ['a', 'b', 'c', 'd'].map((upstream, index) => createRun('p', upstream, 1 - index / 10, 2 + index / 1000))
-  assert.is(countSeparateEnds(together), 1)
-  assert.is(countSeparateEnds([...together, createRun('p', 'e', 2.1, 3)]), 2)
+  assert.is(countSeparateCrashes(together), 1)
+  assert.is(countSeparateCrashes([...together, createRun('p', 'e', 2.1, 3)]), 2)
 })
 
-test('tries that overlap count once, in whatever order they are told', () => {
+test('overlapping attempts count once, in whatever order they are reported', () => {
   const runs = [createRun('g', 'a', 0, 1), createRun('g', 'b', 0.5, 1.2), createRun('g', 'c', 1.1, 2), createRun('g', 'd', 2, 3)]
-  assert.is(countSeparateEnds(runs), 3)
-  assert.is(countSeparateEnds([...runs].reverse()), 3)
+  assert.is(countSeparateCrashes(runs), 3)
+  assert.is(countSeparateCrashes([...runs].reverse()), 3)
 })
 
 test.run()
--- a/src/services/quarantine/test/quarantineBook.test.ts
+++ b/src/services/quarantine/test/quarantineBook.test.ts
@@ -1,53 +1,53 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { KEEP_EVIDENCE_MS, QuarantineBook } from '../common/quarantineBook.ts'
+import { EVIDENCE_RETENTION_MS, QuarantineTracker } from '../common/quarantineBook.ts'
 
-const test = suite('quarantineBook')
+const test = suite('quarantineTracker')
 
-function createBook (ends: number, digest = 'g', book = new QuarantineBook()): QuarantineBook {
-  for (let index = 0; index < ends; index++) book.add({ digest, bodyBytes: 9, upstream: `${digest}${index}`, sentAt: index * 100, endedAt: index * 100 + 50 })
-  return book
+function createTracker (crashes: number, digest = 'g', tracker = new QuarantineTracker()): QuarantineTracker {
+  for (let index = 0; index < crashes; index++) tracker.addRun({ digest, bodyBytes: 9, upstream: `${digest}${index}`, sentAt: index * 100, endedAt: index * 100 + 50 })
+  return tracker
 }
 
-test('a body of another length is not even digested', () => {
-  assert.not(new QuarantineBook().holdsSize(9))
-  assert.ok(createBook(1).holdsSize(9))
-  assert.not(createBook(1).holdsSize(8))
+test('a body of another length needs no digest', () => {
+  assert.not(new QuarantineTracker().hasBodySize(9))
+  assert.ok(createTracker(1).hasBodySize(9))
+  assert.not(createTracker(1).hasBodySize(8))
 })
 
-test('the same end counts once, whoever tells of it', () => {
-  const book = createBook(3)
-  createBook(3, 'g', book)
-  assert.is(book.judge('g').ends, 3)
-  assert.ok(book.judge('g').isQuarantined)
+test('a crash reported by several nodes counts once', () => {
+  const tracker = createTracker(3)
+  createTracker(3, 'g', tracker)
+  assert.is(tracker.getCrashRecord('g').ends, 3)
+  assert.ok(tracker.getCrashRecord('g').isQuarantined)
 })
 
-test('what is taken back is as if it had not been; later ends count', () => {
-  const book = createBook(3)
-  book.clear('g', 200)
-  assert.is(book.judge('g').ends, 1)
-  // A peer that had not heard of it tells the old ends again.
-  createBook(2, 'g', book)
-  assert.is(book.judge('g').ends, 1)
-  // It may be heard of before what it takes back.
-  book.clear('other', 200)
-  assert.is(createBook(3, 'other', book).judge('other').ends, 1)
+test('cleared evidence does not count, and later crashes do', () => {
+  const tracker = createTracker(3)
+  tracker.clear('g', 200)
+  assert.is(tracker.getCrashRecord('g').ends, 1)
+  // A peer that has not received the clearing reports the old crashes again.
+  createTracker(2, 'g', tracker)
+  assert.is(tracker.getCrashRecord('g').ends, 1)
+  // The clearing may arrive before the evidence that it clears.
+  tracker.clear('other', 200)
+  assert.is(createTracker(3, 'other', tracker).getCrashRecord('other').ends, 1)
 })
 
-test('evidence is forgotten some time after the last end', () => {
-  const book = createBook(3)
-  book.expire(KEEP_EVIDENCE_MS)
-  assert.ok(book.judge('g').isQuarantined)
-  book.expire(KEEP_EVIDENCE_MS + 300)
-  assert.ok(book.isEmpty)
+test('evidence expires some time after the last crash', () => {
+  const tracker = createTracker(3)
+  tracker.expire(EVIDENCE_RETENTION_MS)
+  assert.ok(tracker.getCrashRecord('g').isQuarantined)
+  tracker.expire(EVIDENCE_RETENTION_MS + 300)
+  assert.ok(tracker.isEmpty)
 })
 
-test('a flood of requests under which one upstream each ended does not push out one that is quarantined', () => {
-  const book = createBook(3)
-  for (let index = 0; index < 5000; index++) createBook(1, `flood${index}-`, book)
-  assert.ok(book.judge('g').isQuarantined)
-  assert.equal(book.listQuarantined().map(request => request.digest), ['g'])
-  assert.is(book.judge('flood0-').ends, 0)
+test('many requests with one crash each do not evict a quarantined one', () => {
+  const tracker = createTracker(3)
+  for (let index = 0; index < 5000; index++) createTracker(1, `flood${index}-`, tracker)
+  assert.ok(tracker.getCrashRecord('g').isQuarantined)
+  assert.equal(tracker.listQuarantined().map(request => request.digest), ['g'])
+  assert.is(tracker.getCrashRecord('flood0-').ends, 0)
 })
 
 test.run()
--- a/src/services/quarantine/test/quarantineHandler.test.ts
+++ b/src/services/quarantine/test/quarantineHandler.test.ts
@@ -12,7 +12,7 @@
 
 const test = suite('quarantineHandler')
 
-test('operators list what is no longer sent and clear it, and nothing else answers', async () => {
+test('operators list and clear quarantined requests, and other methods and paths are not found', async () => {
   const clock = new VirtualClock(5000)
   const facts = new FactStore(clock)
   const quarantine = new QuarantineService({ clock, log: new LogService({ program: 'test', silent: true }), facts, registry: new UpstreamRegistry(), node: 'a', incarnation: 1 })
--- a/src/services/quarantine/test/quarantineService.test.ts
+++ b/src/services/quarantine/test/quarantineService.test.ts
@@ -12,19 +12,19 @@
 
 const test = suite('quarantineService')
 
-const SUSPECT = { bodyBytes: 9, getDigest: () => 'g' }
+const REQUEST_DIGEST = { bodyBytes: 9, getDigest: () => 'g' }
 
-/** Nodes that each hold what they were told, and tell each other when asked to. */
+/** Two nodes with facts of their own, which exchange them only on `sendFacts`. */
 class Fleet extends Disposable {
   readonly clock = new VirtualClock(1000)
   readonly lines: string[] = []
-  probed: ProbeResult = 'refused'
+  probeResult: ProbeResult = 'refused'
   readonly nodes = ['a', 'b'].map(node => {
     const facts = this._register(new FactStore(this.clock))
     const registry = this._register(new UpstreamRegistry())
     const log = new LogService({ program: 'test', silent: true })
     log.onDidLog(({ line }) => this.lines.push(line))
-    const service = this._register(new QuarantineService({ clock: this.clock, log, facts, registry, node, incarnation: 1, probe: () => Promise.resolve(this.probed) }))
+    const service = this._register(new QuarantineService({ clock: this.clock, log, facts, registry, node, incarnation: 1, probe: () => Promise.resolve(this.probeResult) }))
     return { facts, registry, service }
   })
 
@@ -32,8 +32,8 @@
     return this.nodes[index] ?? assert.unreachable('no such node') as never
   }
 
-  /** A run of the request at one node goes down with its upstream. */
-  async loseRun (node: number, upstream: string, isLeaving = false): Promise<boolean> {
+  /** Ends an upstream while one node has a run of the request in flight there. */
+  async killUpstream (node: number, upstream: string, isLeaving = false): Promise<boolean> {
     const { registry, service } = this.getNode(node)
     registry.update({ id: upstream, role: 'u', address: 'h:1', hall: '', slots: 1, isLeaving }, 'test')
     const sentAt = this.clock.now()
@@ -43,13 +43,13 @@
     return isEnded
   }
 
-  /** What is done once all facts of a frame are taken in. */
-  settle (): Promise<void> {
+  /** Waits for the work that is scheduled after a batch of facts. */
+  flush (): Promise<void> {
     return new Promise(resolve => { setImmediate(resolve) })
   }
 
-  /** All facts of one node go to the other over the wire, doubled and the newest first. */
-  share (from: number): void {
+  /** Sends all facts of one node to the other in wire format, each twice and the newest first. */
+  sendFacts (from: number): void {
     const facts = [...this.getNode(from).facts.listSince(0, '')].reverse()
     const message = checkMessage({ kind: 'facts', facts: [...facts, ...facts] }).unsafeCoerce() as WireMessage & { readonly kind: 'facts' }
     for (const fact of message.facts) this.getNode(1 - from).facts.merge(fact, 'peer')
@@ -65,91 +65,91 @@
   }
 }
 
-test('what nodes saw of different upstreams adds up at all of them', () => runFleet(async fleet => {
-  await fleet.loseRun(0, 'u1')
-  await fleet.loseRun(1, 'u2')
-  await fleet.loseRun(0, 'u3')
-  assert.not(fleet.getNode(0).service.judge(SUSPECT).isQuarantined)
-  fleet.share(0)
-  fleet.share(1)
+test('crashes of different upstreams observed by different nodes add up at all nodes', () => runFleet(async fleet => {
+  await fleet.killUpstream(0, 'u1')
+  await fleet.killUpstream(1, 'u2')
+  await fleet.killUpstream(0, 'u3')
+  assert.not(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
+  fleet.sendFacts(0)
+  fleet.sendFacts(1)
   for (const { service } of fleet.nodes) {
-    const standing = service.judge(SUSPECT)
-    assert.ok(standing.isQuarantined)
-    assert.equal([...standing.upstreams].sort(), ['u1', 'u2', 'u3'])
+    const record = service.judge(REQUEST_DIGEST)
+    assert.ok(record.isQuarantined)
+    assert.equal([...record.upstreams].sort(), ['u1', 'u2', 'u3'])
     assert.ok(service.hasEnded('u2'))
   }
-  await fleet.settle()
+  await fleet.flush()
   assert.is(fleet.lines.filter(line => line.includes('event=quarantine_began digest=g ends=3')).length, 2)
 }))
 
-test('a request that facts which come together hold guilty and clear again is not announced', () => runFleet(async fleet => {
-  for (const upstream of ['u1', 'u2', 'u3']) await fleet.loseRun(0, upstream)
+test('a request that is quarantined and cleared by facts of one batch is not logged', () => runFleet(async fleet => {
+  for (const upstream of ['u1', 'u2', 'u3']) await fleet.killUpstream(0, upstream)
   const { facts, service } = fleet.getNode(0)
   const ends = facts.listSince(0, '')
-  service.noteServed(SUSPECT)
+  service.noteServed(REQUEST_DIGEST)
   for (const fact of [...ends, ...facts.listSince(facts.sequence - 1, '')]) fleet.getNode(1).facts.merge(fact, 'peer')
-  await fleet.settle()
-  assert.not(fleet.getNode(1).service.judge(SUSPECT).isQuarantined)
+  await fleet.flush()
+  assert.not(fleet.getNode(1).service.judge(REQUEST_DIGEST).isQuarantined)
   assert.is(fleet.lines.filter(line => line.includes('event=quarantine_began')).length, 1)
 }))
 
-test('an answer takes back, at all nodes, what was held against a request, and so does an operator', () => runFleet(async fleet => {
-  for (const upstream of ['u1', 'u2', 'u3']) await fleet.loseRun(0, upstream)
-  fleet.share(0)
-  fleet.getNode(1).service.noteServed(SUSPECT)
-  fleet.share(1)
-  // Old evidence that comes again changes nothing.
-  fleet.share(0)
-  for (const { service } of fleet.nodes) assert.is(service.judge(SUSPECT).ends, 0)
-  for (const upstream of ['u4', 'u5', 'u6']) await fleet.loseRun(0, upstream)
-  assert.not(fleet.getNode(0).service.judge(SUSPECT).isQuarantined)
+test('an answer clears the evidence against a request at all nodes, and so does an operator', () => runFleet(async fleet => {
+  for (const upstream of ['u1', 'u2', 'u3']) await fleet.killUpstream(0, upstream)
+  fleet.sendFacts(0)
+  fleet.getNode(1).service.noteServed(REQUEST_DIGEST)
+  fleet.sendFacts(1)
+  // Old evidence that is received again has no effect.
+  fleet.sendFacts(0)
+  for (const { service } of fleet.nodes) assert.is(service.judge(REQUEST_DIGEST).ends, 0)
+  for (const upstream of ['u4', 'u5', 'u6']) await fleet.killUpstream(0, upstream)
+  assert.not(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
   fleet.clock.advance(2000)
-  for (const upstream of ['u7', 'u8', 'u9']) await fleet.loseRun(0, upstream)
-  assert.ok(fleet.getNode(0).service.judge(SUSPECT).isQuarantined)
-  await fleet.settle()
-  assert.is(fleet.lines.filter(line => line.includes('event=quarantine_began')).length, 2, 'at one node, and there again')
+  for (const upstream of ['u7', 'u8', 'u9']) await fleet.killUpstream(0, upstream)
+  assert.ok(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
+  await fleet.flush()
+  assert.is(fleet.lines.filter(line => line.includes('event=quarantine_began')).length, 2, 'once at one node, and again there')
   assert.ok(fleet.getNode(0).service.clear('g', 'operator'))
   assert.not(fleet.getNode(0).service.clear('other', 'operator'))
-  fleet.share(0)
-  for (const { service } of fleet.nodes) assert.is(service.judge(SUSPECT).ends, 0)
+  fleet.sendFacts(0)
+  for (const { service } of fleet.nodes) assert.is(service.judge(REQUEST_DIGEST).ends, 0)
 }))
 
-test('an answer is remembered at all nodes, where an operator\'s word is not', () => runFleet(async fleet => {
+test('after an answer all nodes require more crashes, after an operator\'s clearing they do not', () => runFleet(async fleet => {
   const clearings = [
-    { clear: () => fleet.getNode(0).service.noteServed(SUSPECT), isQuarantined: false },
+    { clear: () => fleet.getNode(0).service.noteServed(REQUEST_DIGEST), isQuarantined: false },
     { clear: () => fleet.getNode(0).service.clear('g', 'operator'), isQuarantined: true }
   ]
   let count = 0
-  const loseRuns = async () => { for (let run = 0; run < 3; run++) await fleet.loseRun(0, `u${count++}`) }
+  const loseRuns = async () => { for (let run = 0; run < 3; run++) await fleet.killUpstream(0, `u${count++}`) }
   for (const { clear, isQuarantined } of clearings.reverse()) {
-    // Ends are told at a bounded rate.
+    // Crashes are reported at a limited rate.
     fleet.clock.advance(2000)
     await loseRuns()
     clear()
     await loseRuns()
-    fleet.share(0)
-    for (const { service } of fleet.nodes) assert.is(service.judge(SUSPECT).isQuarantined, isQuarantined)
+    fleet.sendFacts(0)
+    for (const { service } of fleet.nodes) assert.is(service.judge(REQUEST_DIGEST).isQuarantined, isQuarantined)
   }
 }))
 
-test('a lost connection to an upstream that is there, or that was leaving, says nothing against a request', () => runFleet(async fleet => {
-  fleet.probed = 'accepted'
-  for (const upstream of ['u1', 'u2', 'u3']) assert.not(await fleet.loseRun(0, upstream))
-  fleet.probed = 'refused'
-  for (const upstream of ['u4', 'u5', 'u6']) assert.not(await fleet.loseRun(0, upstream, true))
-  assert.is(fleet.getNode(0).service.judge(SUSPECT).ends, 0)
-  // The same upstream may end later.
-  assert.ok(await fleet.loseRun(0, 'u1'))
-  assert.is(fleet.getNode(0).service.judge(SUSPECT).ends, 1)
+test('a lost connection to an upstream that is still running, or that was leaving, does not count against a request', () => runFleet(async fleet => {
+  fleet.probeResult = 'accepted'
+  for (const upstream of ['u1', 'u2', 'u3']) assert.not(await fleet.killUpstream(0, upstream))
+  fleet.probeResult = 'refused'
+  for (const upstream of ['u4', 'u5', 'u6']) assert.not(await fleet.killUpstream(0, upstream, true))
+  assert.is(fleet.getNode(0).service.judge(REQUEST_DIGEST).ends, 0)
+  // The same upstream may crash later.
+  assert.ok(await fleet.killUpstream(0, 'u1'))
+  assert.is(fleet.getNode(0).service.judge(REQUEST_DIGEST).ends, 1)
 }))
 
-test('where an upstream\'s host is silent, the list of upstreams tells', () => runFleet(async fleet => {
-  fleet.probed = 'silent'
+test('if an upstream\'s host does not answer, its removal from the list of upstreams counts as a crash', () => runFleet(async fleet => {
+  fleet.probeResult = 'silent'
   for (const upstream of ['u1', 'u2', 'u3']) {
-    assert.not(await fleet.loseRun(0, upstream))
+    assert.not(await fleet.killUpstream(0, upstream))
     fleet.getNode(0).registry.drop(upstream, 'removed')
   }
-  assert.ok(fleet.getNode(0).service.judge(SUSPECT).isQuarantined)
+  assert.ok(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
 }))
 
 test.run()
--- a/src/services/upstream/common/upstreamAdapter.ts
+++ b/src/services/upstream/common/upstreamAdapter.ts
@@ -1,5 +1,5 @@
 /**
- * The port to upstreams. One adapter speaks one upstream protocol; everything above it speaks of attempts and outcomes.
+ * The interface to upstreams. Each adapter implements one upstream protocol; callers only deal with attempts and outcomes.
  */
 import type { Either } from 'purify-ts'
 import type { Upstream } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -8,7 +8,7 @@
 /** One attempt of one stage at one upstream. */
 export interface UpstreamCall {
   readonly upstream: Upstream
-  /** Echoed by the upstream; an answer with another id is discarded. */
+  /** Echoed by the upstream; an answer with a different id is discarded. */
   readonly attemptId: string
   readonly requestId: string
   readonly role: string
@@ -16,43 +16,43 @@
   readonly input: string
   /** The previous stage's result. */
   readonly previous: string
-  /** Requests with the same key share the beginning of their prompt. */
+  /** Requests with the same key have a common prompt prefix. */
   readonly prefixKey: string
   readonly priority: number
   readonly timeLeftMs: number
-  /** The first token wanted; tokens before it were received already. */
+  /** Index of the first token to send; earlier tokens have been received already. */
   readonly offset: number
   /** The text of the tokens before the offset. */
   readonly produced: string
-  /** Asks for the rest of this same attempt, which an engine still holds, and runs nothing anew. */
+  /** Requests the remaining tokens of an attempt that the engine still holds; nothing is run again. */
   readonly isResume: boolean
-  /** The call may not be sent twice, so it gets a connection of its own. */
+  /** The call must not be sent twice, so it uses a connection of its own. */
   readonly isUnrepeatable: boolean
   /**
-   * Asked once the connection is open and before the first byte is written; false keeps the call from being sent.
+   * Called once the connection is open and before the first byte is written; false withholds the call.
    */
   readonly onWillSend: () => boolean
-  /** Text as it arrives, in order from the offset on. */
+  /** Called with each token as it arrives, in order from `offset` on. */
   readonly onDidReceiveText: (text: string, index: number) => void
   readonly signal: AbortSignal
 }
 
 /** How an attempt ended. */
 export type UpstreamOutcome =
-  /** The whole result arrived. */
+  /** The complete result arrived. */
   | { readonly kind: 'answered', readonly text: string, readonly tokenCount: number, readonly busyMs: number, readonly cachedTokens: number }
-  /** The connection never opened, the call was never written, or the upstream said that it did not run it. */
+  /** The connection was not opened, the call was not written, or the upstream reported that it did not run it. */
   | { readonly kind: 'notRun', readonly error: PepperwoodError, readonly isLeaving: boolean, readonly incarnation: number }
-  /** The upstream ran it and said that it failed. */
+  /** The upstream ran the call and reported a failure. */
   | { readonly kind: 'failed', readonly error: PepperwoodError, readonly busyMs: number }
-  /** It was sent, and what became of it is not known. */
+  /** The call was sent, and its result is unknown. */
   | { readonly kind: 'lost', readonly error: PepperwoodError }
 
-/** What an upstream says of itself. */
+/** The load report of an upstream. */
 export interface UpstreamReport {
-  /** Grows with each boot of the upstream. */
+  /** The incarnation; increases with each start of the upstream. */
   readonly boot: number
-  /** Grows with each report of a boot. */
+  /** Increases with each report of an incarnation. */
   readonly report: number
   readonly running: number
   readonly queued: number
@@ -63,7 +63,7 @@
   readonly prefixes: readonly string[]
 }
 
-/** An order to hold a model. */
+/** An order to load models. */
 export interface UpstreamOrder {
   readonly fencing: number
   readonly models: readonly string[]
@@ -71,7 +71,7 @@
 
 export abstract class UpstreamAdapter {
   abstract call (call: UpstreamCall): Promise<UpstreamOutcome>
-  /** Tells the upstream to stop an attempt; best effort. */
+  /** Requests that the upstream stop an attempt; best effort. */
   abstract cancel (upstream: Upstream, attemptId: string): Promise<void>
   abstract readReport (upstream: Upstream): Promise<Either<PepperwoodError, UpstreamReport>>
   abstract sendOrder (upstream: Upstream, order: UpstreamOrder): Promise<Either<PepperwoodError, void>>
--- a/src/services/upstream/common/upstreamRegistry.ts
+++ b/src/services/upstream/common/upstreamRegistry.ts
@@ -1,57 +1,57 @@
 /**
- * The upstreams that announced themselves: one entry for each boot, since an address may be given to another upstream.
- * A boot that was marked as leaving, or whose address answers as another, never comes back into use, whoever speaks of
- * it later. One that is only missing from a list may: the list may have been wrong. Upstreams of a hall that is evacuated
- * are known, but take no work until the hall is taken back.
+ * The upstreams that announced themselves. There is one entry per upstream instance, because an address may be reused by
+ * another upstream. An instance that was marked as leaving, or whose address is answered by another instance, is never used
+ * again, whichever source reports it later. One that is only missing from a list may return, because the list may have been
+ * wrong. Upstreams of an evacuated hall stay in the registry but get no work until the hall is readmitted.
  */
 import { BoundedSet } from '../../../base/common/boundedSet.ts'
 import { Disposable } from '../../../base/common/disposable.ts'
 import { Emitter } from '../../../base/common/event.ts'
 
-/** One boot of an upstream. */
+/** One instance of an upstream: a process from its start to its end. */
 export interface UpstreamEntry {
-  /** Unique to the boot. */
+  /** Unique to the instance. */
   readonly id: string
   readonly role: string
   readonly address: string
   readonly hall: string
-  /** Calls that it works on at once. */
+  /** Maximum number of concurrent calls. */
   readonly slots: number
   readonly isLeaving: boolean
-  /** Until then it bears few requests, on the process's clock. */
+  /** Until this time the cold upstream has capacity for few requests only; milliseconds on this process's clock. */
   readonly coldUntil?: number
 }
 
-/** What changed of an entry. */
+/** A change of an entry. `signal` names where it was learned. */
 export interface UpstreamChange {
   readonly kind: 'added' | 'changed' | 'leaving' | 'dropped'
   readonly entry: UpstreamEntry
   readonly signal: string
 }
 
-/** How current the entries are, for logs: a request that went to the wrong place is explained by it. */
+/** How current the entries are. Logged, to explain requests that were sent to an unsuitable upstream. */
 export interface PictureAge {
-  /** The source's revision up to which its changes are known. */
+  /** The source's revision up to which all changes have been applied. */
   readonly revision: number
-  /** Milliseconds since the source last said so; Infinity before it did. */
+  /** Milliseconds since the source last confirmed that revision; Infinity before the first confirmation. */
   readonly ageMs: number
 }
 
-/** Ids of boots that are remembered, whether or not they are listed. */
-const MAX_REMEMBERED = 2000
+/** Maximum number of instance ids remembered per set, whether or not the instances are listed. */
+const MAX_REMEMBERED_IDS = 2000
 
 export class UpstreamRegistry extends Disposable {
   private readonly _entries = new Map<string, UpstreamEntry>()
   private readonly _byRole = new Map<string, readonly UpstreamEntry[]>()
-  private readonly _gone = new BoundedSet<string>(MAX_REMEMBERED)
-  private readonly _leaving = new BoundedSet<string>(MAX_REMEMBERED)
+  private readonly _removedIds = new BoundedSet<string>(MAX_REMEMBERED_IDS)
+  private readonly _leavingIds = new BoundedSet<string>(MAX_REMEMBERED_IDS)
   private readonly _evacuatedHalls = new Set<string>()
   private _confirmedRevision = 0
   private _confirmedAt = -Infinity
   private readonly _onDidChange = this._register(new Emitter<UpstreamChange>())
   readonly onDidChange = this._onDidChange.event
   private readonly _onDidEvacuate = this._register(new Emitter<string>())
-  /** A hall's upstreams take no new work from now on; fired after each of them was told to have changed. */
+  /** Fired when a hall is evacuated, after `onDidChange` was fired for each of its upstreams. */
   readonly onDidEvacuate = this._onDidEvacuate.event
 
   get size (): number {
@@ -66,17 +66,17 @@
     return [...this._entries.values()]
   }
 
-  /** The upstreams of a role that take new work. */
+  /** The upstreams of a role that accept new work. */
   listRole (role: string): readonly UpstreamEntry[] {
-    let listed = this._byRole.get(role)
-    if (listed === undefined) {
-      listed = this.list().filter(entry => entry.role === role && this.mayUse(entry))
-      this._byRole.set(role, listed)
+    let roleEntries = this._byRole.get(role)
+    if (roleEntries === undefined) {
+      roleEntries = this.list().filter(entry => entry.role === role && this.mayUse(entry))
+      this._byRole.set(role, roleEntries)
     }
-    return listed
+    return roleEntries
   }
 
-  /** Whether anything new may be sent to the upstream. */
+  /** Whether new work may be sent to the upstream. */
   mayUse ({ hall, isLeaving }: UpstreamEntry): boolean {
     return !isLeaving && !this._evacuatedHalls.has(hall)
   }
@@ -89,7 +89,7 @@
     return [...this._evacuatedHalls]
   }
 
-  /** False where the hall was known to be so. */
+  /** Returns false if the hall already was in that state. */
   setEvacuated (hall: string, isEvacuated: boolean): boolean {
     if (this._evacuatedHalls.has(hall) === isEvacuated) return false
     if (isEvacuated) this._evacuatedHalls.add(hall)
@@ -100,45 +100,48 @@
     return true
   }
 
-  /** Takes in what an upstream said of itself; a boot that left stays so, and one that is cold for as long as was ever known. */
+  /**
+   * Adds or updates an entry. An instance that was leaving stays leaving, and of the known values of `coldUntil` the latest is
+   * kept.
+   */
   update (entry: UpstreamEntry, signal: string): void {
-    if (this._gone.has(entry.id)) return
-    const held = this._entries.get(entry.id)
-    const next = { ...entry, isLeaving: entry.isLeaving || held?.isLeaving === true || this._leaving.has(entry.id), coldUntil: Math.max(entry.coldUntil ?? 0, held?.coldUntil ?? 0) }
-    this._set(next)
-    if (held === undefined) this._fire('added', next, signal)
-    if (next.isLeaving && held?.isLeaving !== true) this._fire('leaving', next, signal)
-    else if (held !== undefined && !isSameEntry(held, next)) this._fire('changed', next, signal)
+    if (this._removedIds.has(entry.id)) return
+    const existing = this._entries.get(entry.id)
+    const next = { ...entry, isLeaving: entry.isLeaving || existing?.isLeaving === true || this._leavingIds.has(entry.id), coldUntil: Math.max(entry.coldUntil ?? 0, existing?.coldUntil ?? 0) }
+    this._setEntry(next)
+    if (existing === undefined) this._fire('added', next, signal)
+    if (next.isLeaving && existing?.isLeaving !== true) this._fire('leaving', next, signal)
+    else if (existing !== undefined && !isSameEntry(existing, next)) this._fire('changed', next, signal)
   }
 
-  /** New work stops; what runs there may end. The word may come before the boot's entry does. */
+  /** Stops new work; calls in flight may complete. The signal may arrive before the entry of the instance. */
   markLeaving (id: string, signal: string): void {
-    this._leaving.add(id)
-    const held = this._entries.get(id)
-    if (held === undefined || held.isLeaving) return
-    const next = { ...held, isLeaving: true }
-    this._set(next)
+    this._leavingIds.add(id)
+    const existing = this._entries.get(id)
+    if (existing === undefined || existing.isLeaving) return
+    const next = { ...existing, isLeaving: true }
+    this._setEntry(next)
     this._fire('leaving', next, signal)
   }
 
-  /** Takes an entry out until its source speaks of it again. */
+  /** Removes an entry until its source lists it again. */
   drop (id: string, signal: string): void {
-    const held = this._entries.get(id)
-    if (held === undefined) return
+    const existing = this._entries.get(id)
+    if (existing === undefined) return
     this._entries.delete(id)
-    this._byRole.delete(held.role)
-    // Leaving is for good, also over a gap in the list.
-    if (held.isLeaving) this._gone.add(id)
-    this._fire('dropped', held, signal)
+    this._byRole.delete(existing.role)
+    // An instance that was leaving stays so, even if it is missing from the list for a while.
+    if (existing.isLeaving) this._removedIds.add(id)
+    this._fire('dropped', existing, signal)
   }
 
-  /** Takes an entry out for good: the boot is known to have ended. */
+  /** Removes an entry permanently, because the instance is known to have ended. */
   dropForGood (id: string, signal: string): void {
-    this._gone.add(id)
+    this._removedIds.add(id)
     this.drop(id, signal)
   }
 
-  /** The source says that nothing changed beyond what was taken in up to this revision. */
+  /** Records that the source confirmed this revision: all changes up to it have been applied, and there are no later ones. */
   confirm (revision: number, now: number): void {
     this._confirmedRevision = revision
     this._confirmedAt = now
@@ -148,11 +151,11 @@
     return { revision: this._confirmedRevision, ageMs: now - this._confirmedAt }
   }
 
-  private _set (entry: UpstreamEntry): void {
-    const held = this._entries.get(entry.id)
+  private _setEntry (entry: UpstreamEntry): void {
+    const existing = this._entries.get(entry.id)
     this._entries.set(entry.id, entry)
     this._byRole.delete(entry.role)
-    if (held !== undefined && held.role !== entry.role) this._byRole.delete(held.role)
+    if (existing !== undefined && existing.role !== entry.role) this._byRole.delete(existing.role)
   }
 
   private _fire (kind: UpstreamChange['kind'], entry: UpstreamEntry, signal: string): void {
--- a/src/services/upstream/common/upstreamSource.ts
+++ b/src/services/upstream/common/upstreamSource.ts
@@ -1,20 +1,20 @@
 /**
- * Where a node learns which upstreams there are.
+ * The source from which a node learns which upstreams exist.
  */
 import { Disposable } from '../../../base/common/disposable.ts'
 import { Emitter } from '../../../base/common/event.ts'
 import type { UpstreamEntry } from './upstreamRegistry.ts'
 
-/** What an operator said last of a hall: that its upstreams get nothing new, or that they take work again. */
+/** An operator's latest change of a hall: its upstreams get no new work (evacuated), or get work again (readmitted). */
 export interface Evacuation {
   readonly hall: string
-  /** The source's revision of that word: of two, the later one counts. */
+  /** The source's revision of the change; the higher one takes precedence. */
   readonly revision: number
 }
 
-/** News of a source. */
+/** A change reported by a source. */
 export type UpstreamNews =
-  /** Every upstream and every evacuation that the source lists; what is missing is gone. */
+  /** All upstreams and evacuations of the source; those not included no longer exist. */
   | { readonly kind: 'listed', readonly entries: readonly UpstreamEntry[], readonly evacuations: readonly Evacuation[], readonly revision: number }
   | { readonly kind: 'updated', readonly entry: UpstreamEntry }
   | { readonly kind: 'removed', readonly id: string }
@@ -25,23 +25,23 @@
   private readonly _onDidRead = this._register(new Emitter<UpstreamNews>())
   readonly onDidRead = this._onDidRead.event
   private readonly _onDidConfirm = this._register(new Emitter<number>())
-  /** Everything up to this revision of the source was told. */
+  /** Fired when all changes up to this revision of the source have been published. */
   readonly onDidConfirm = this._onDidConfirm.event
 
-  /** Whether the source answered lately, so that what it does not list is not there. */
+  /** Whether the source answered recently, so that an upstream that it does not list can be assumed not to exist. */
   abstract get isCurrent (): boolean
 
-  /** Has everything listed anew at once. */
+  /** Requests the complete list again immediately. */
   abstract listAgain (): void
 
-  /** Begins to follow the source, until disposed of. */
+  /** Starts following the source, until disposed. */
   abstract start (): void
 
   protected _confirm (revision: number): void {
     this._onDidConfirm.fire(revision)
   }
 
-  protected _publish (news: UpstreamNews): void {
-    this._onDidRead.fire(news)
+  protected _publish (update: UpstreamNews): void {
+    this._onDidRead.fire(update)
   }
 }
--- a/src/services/upstream/common/upstreamStatement.ts
+++ b/src/services/upstream/common/upstreamStatement.ts
@@ -1,30 +1,31 @@
 /**
- * What upstreams say of themselves with their answers. An adapter reads it from any answer; each kind has one receiver.
+ * Statements about its own state that an upstream sends with its answers. Adapters read them from any answer; each kind has one
+ * receiver.
  */
 
 export type UpstreamStatement =
-  /** Requests per second that it accepts from all callers together; a limit that was stated before ends without a number. */
+  /** Requests per second that the upstream accepts from all callers together; undefined removes a limit stated earlier. */
   | { readonly kind: 'rate', readonly perS: number | undefined }
-  /** It finishes what it has and takes nothing new; a boot does not take this back. */
+  /** The upstream completes its current calls and accepts no new ones. Final for this instance. */
   | { readonly kind: 'leaving' }
-  /** It turned this node away, and wants nothing from it for so long. */
+  /** The upstream refused a request of this node and asks it to send nothing for this time. */
   | { readonly kind: 'backoff', readonly forMs: number }
-  /** A value that means nothing; nothing changes by it. */
+  /** A statement with an invalid value; it has no effect. */
   | { readonly kind: 'invalid', readonly name: string, readonly value: string }
 
 export type StatementKind = UpstreamStatement['kind']
 type StatementOf<Kind extends StatementKind> = Extract<UpstreamStatement, { readonly kind: Kind }>
 
-/** Statements that came with one answer, and the boot that made them. */
+/** The statements of one answer, and the id of the upstream instance that sent it. */
 export interface StatedByUpstream {
   readonly upstream: string
   readonly statements: readonly UpstreamStatement[]
 }
 
-/** Who takes in each kind. A statement that nobody takes in does not compile. */
+/** The receiver of each kind. A kind without a receiver is a compile error. */
 export type StatementReceivers = { readonly [Kind in StatementKind]: (upstream: string, statement: StatementOf<Kind>) => void }
 
-/** Hands each statement to the receiver of its kind. */
+/** Calls the receiver of its kind for each statement. */
 export function dispatchStatements ({ upstream, statements }: StatedByUpstream, receivers: StatementReceivers): void {
   for (const statement of statements) dispatchStatement(upstream, statement, receivers)
 }
--- a/src/services/upstream/node/httpExchange.ts
+++ b/src/services/upstream/node/httpExchange.ts
@@ -1,29 +1,29 @@
 /**
- * One HTTP/1.1 exchange with an upstream that knows whether anything was written.
+ * An HTTP/1.1 exchange with an upstream that keeps track of whether any byte of the request was written.
  */
 import { request } from 'node:http'
 import type { Agent, ClientRequest, IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import { parseAddress } from '../../../base/common/address.ts'
 
-/** Settings of one exchange. */
+/** Options of one exchange. */
 export interface ExchangeOptions {
   readonly address: string
   readonly method: string
   readonly path: string
   readonly body?: string | Uint8Array
-  /** Names and values by turns, framing included; without them, a body is announced as JSON. */
+  /** Alternating names and values, including framing headers; if missing, the body is sent as JSON. */
   readonly rawHeaders?: readonly string[]
-  /** False gives the exchange a connection of its own. */
+  /** False opens a separate connection for the exchange. */
   readonly agent: Agent | false
   readonly localAddress?: string
   readonly connectTimeoutMs: number
   readonly signal?: AbortSignal
-  /** Asked when the connection is open; false ends the exchange before a byte is written. */
+  /** Called when the connection is open; false ends the exchange before any byte is written. */
   readonly onWillSend?: () => boolean
 }
 
-/** How far an exchange came. */
+/** The result of starting an exchange. */
 export type ExchangeStart =
   | { readonly kind: 'response', readonly response: IncomingMessage, readonly exchange: IExchange }
   | { readonly kind: 'notSent', readonly reason: string, readonly isWithheld: boolean }
@@ -32,13 +32,13 @@
 /** An exchange whose response has begun. */
 export interface IExchange {
   /**
-   * Whether the connection failed. The parser takes a body without a length for whole when its connection is reset, so
-   * the end of a response alone proves nothing.
+   * Whether the connection failed. The parser considers a body without a length complete when its connection is reset, so the
+   * end of the response alone does not prove that it is complete.
    */
   readonly hasFailed: boolean
-  /** Whether the upstream had the whole request when its answer began. */
+  /** Whether the request had been written completely when the response began. */
   readonly wasWritten: boolean
-  /** Ends the exchange and its connection. */
+  /** Ends the exchange and closes its connection. */
   cancel (): void
 }
 
@@ -79,10 +79,10 @@
   return body === undefined ? {} : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) }
 }
 
-/** Starts an exchange; resolves at the first byte of the response, or when it failed. */
+/** Starts an exchange; resolves when the response headers arrive, or when the exchange failed. */
 export function startExchange (options: ExchangeOptions): Promise<ExchangeStart> {
   const address = parseAddress(options.address)
-  if (address === undefined) return Promise.resolve({ kind: 'notSent', reason: 'bad address', isWithheld: false })
+  if (address === undefined) return Promise.resolve({ kind: 'notSent', reason: 'invalid address', isWithheld: false })
   const state = new ExchangeState()
   return new Promise(resolve => {
     const call = request({
@@ -118,8 +118,8 @@
 }
 
 /**
- * Closes the pool's idle connections to an address. After one of them gave no answer in time, others that were open
- * then may be as silent, and each would hold up one more call.
+ * Closes the pool's idle connections to an address. After a timeout on one of them, others opened before may be stalled as
+ * well, and each would delay another call.
  */
 export function dropIdleConnections (agent: Agent, address: string): void {
   const parsed = parseAddress(address)
@@ -129,21 +129,21 @@
   }
 }
 
-/** Reads a body of bounded size; undefined when it was cut off or is too large. */
+/** Reads a body of bounded size; undefined if it was truncated or is too large. */
 export async function readBody (response: IncomingMessage, maxBytes: number): Promise<string | undefined> {
-  const parts: Buffer[] = []
+  const chunks: Buffer[] = []
   let size = 0
   try {
-    for await (const part of response as AsyncIterable<Buffer>) {
-      size += part.length
+    for await (const chunk of response as AsyncIterable<Buffer>) {
+      size += chunk.length
       if (size > maxBytes) {
         response.destroy()
         return undefined
       }
-      parts.push(part)
+      chunks.push(chunk)
     }
   } catch {
     return undefined
   }
-  return response.complete ? Buffer.concat(parts).toString('utf8') : undefined
+  return response.complete ? Buffer.concat(chunks).toString('utf8') : undefined
 }
--- a/src/services/upstream/node/httpUpstreamAdapter.ts
+++ b/src/services/upstream/node/httpUpstreamAdapter.ts
@@ -1,5 +1,5 @@
 /**
- * Upstreams over HTTP/1.1 with JSON bodies and server-sent events, as docs/UPSTREAMS.md describes them.
+ * Adapter for the upstream protocol of docs/UPSTREAMS.md: HTTP/1.1 with JSON bodies and server-sent events.
  */
 import { Agent } from 'node:http'
 import type { IncomingMessage } from 'node:http'
@@ -20,10 +20,10 @@
 const OK = 200
 
 export interface HttpUpstreamAdapterOptions {
-  /** The address that connections leave from. */
+  /** The local address of outgoing connections. */
   readonly localAddress?: string
   readonly connectTimeoutMs?: number
-  /** For reports, cancels and orders. */
+  /** Timeout of report, cancel and order requests. */
   readonly controlTimeoutMs?: number
 }
 
@@ -56,31 +56,31 @@
       signal: call.signal,
       onWillSend: call.onWillSend
     })
-    if (start.kind === 'notSent') return createNotRun('upstreamUnreachable', start.reason, call.upstream)
-    if (start.kind === 'lost') return createLost('upstreamConnectionLost', start.reason, call.upstream)
-    if (start.response.statusCode !== OK) return await this._readRefusal(call, start.response)
+    if (start.kind === 'notSent') return createNotRunOutcome('upstreamUnreachable', start.reason, call.upstream)
+    if (start.kind === 'lost') return createLostOutcome('upstreamConnectionLost', start.reason, call.upstream)
+    if (start.response.statusCode !== OK) return await this._readErrorAnswer(call, start.response)
     return isEngine ? await new TokenStreamReader(call).read(start.response) : await this._readAnswer(call, start.response)
   }
 
   async cancel (upstream: Upstream, attemptId: string): Promise<void> {
-    await this._exchange(upstream, 'POST', '/v1/cancel', JSON.stringify({ attempt: attemptId }))
+    await this._sendControlRequest(upstream, 'POST', '/v1/cancel', JSON.stringify({ attempt: attemptId }))
   }
 
   async readReport (upstream: Upstream): Promise<Either<PepperwoodError, UpstreamReport>> {
-    const body = await this._exchange(upstream, 'GET', '/v1/load')
+    const body = await this._sendControlRequest(upstream, 'GET', '/v1/load')
     return body
       .chain(text => parseBody(text, LoadReport, upstream.name))
       .map(({ leaving, ...report }) => ({ ...report, isLeaving: leaving }))
   }
 
   async sendOrder (upstream: Upstream, order: UpstreamOrder): Promise<Either<PepperwoodError, void>> {
-    const body = await this._exchange(upstream, 'POST', '/v1/orders', JSON.stringify(order))
+    const body = await this._sendControlRequest(upstream, 'POST', '/v1/orders', JSON.stringify(order))
     return body.chain(text => parseBody(text, OrderAnswer, upstream.name)).chain(answer => answer.accepted
       ? Right(undefined)
-      : Left(new PepperwoodError({ name: 'upstreamRefused', message: 'the order carries an old fencing number', place: upstream.name, value: String(order.fencing) })))
+      : Left(new PepperwoodError({ name: 'upstreamRefused', message: 'the fencing number of the order is outdated', place: upstream.name, value: String(order.fencing) })))
   }
 
-  private async _exchange (upstream: Upstream, method: 'GET' | 'POST', path: string, body?: string): Promise<Either<PepperwoodError, string>> {
+  private async _sendControlRequest (upstream: Upstream, method: 'GET' | 'POST', path: string, body?: string): Promise<Either<PepperwoodError, string>> {
     const start = await startExchange({
       address: upstream.address,
       method,
@@ -93,20 +93,20 @@
     })
     if (start.kind !== 'response') return Left(createError('upstreamUnreachable', start.reason, upstream))
     const text = await readBody(start.response, MAX_ANSWER_BYTES)
-    if (text === undefined) return Left(createError('upstreamConnectionLost', 'the answer was cut off', upstream))
+    if (text === undefined) return Left(createError('upstreamConnectionLost', 'the answer was truncated', upstream))
     if (start.response.statusCode !== OK) return Left(createError('upstreamFailed', `status ${start.response.statusCode}`, upstream))
     return Right(text)
   }
 
   private async _readAnswer (call: UpstreamCall, response: IncomingMessage): Promise<UpstreamOutcome> {
     const text = await readBody(response, MAX_ANSWER_BYTES)
-    if (text === undefined) return createLost('upstreamConnectionLost', 'the answer was cut off', call.upstream)
+    if (text === undefined) return createLostOutcome('upstreamConnectionLost', 'the answer was truncated', call.upstream)
     return parseBody(text, RunAnswer, call.upstream.name).caseOf<UpstreamOutcome>({
       Left: error => ({ kind: 'lost', error }),
       Right: answer => {
         if (answer.attempt !== call.attemptId) {
           response.socket.destroy()
-          return createLost('upstreamAnswerForeign', `the answer is for ${answer.attempt}`, call.upstream)
+          return createLostOutcome('upstreamAnswerForeign', `the answer belongs to attempt ${answer.attempt}`, call.upstream)
         }
         call.onDidReceiveText(answer.output, 0)
         return { kind: 'answered', text: answer.output, tokenCount: 1, busyMs: answer.busyMs, cachedTokens: 0 }
@@ -114,12 +114,12 @@
     })
   }
 
-  /** Only the upstream's own word, with this attempt's id, says that nothing ran. */
-  private async _readRefusal (call: UpstreamCall, response: IncomingMessage): Promise<UpstreamOutcome> {
+  /** The call is considered not run only if the upstream's answer says so and carries this attempt's id. */
+  private async _readErrorAnswer (call: UpstreamCall, response: IncomingMessage): Promise<UpstreamOutcome> {
     const text = await readBody(response, MAX_ERROR_BYTES)
     const parsed = parseBody(text ?? '', ErrorAnswer, call.upstream.name)
     const answer = parsed.toMaybe().filter(found => found.attempt === call.attemptId).extractNullable()
-    if (answer === null) return createLost('upstreamAnswerInvalid', `status ${response.statusCode}`, call.upstream)
+    if (answer === null) return createLostOutcome('upstreamAnswerInvalid', `status ${response.statusCode}`, call.upstream)
     if (answer.ran) {
       return { kind: 'failed', error: createError('upstreamFailed', answer.error, call.upstream), busyMs: answer.busyMs }
     }
@@ -145,10 +145,10 @@
   return new PepperwoodError({ name, message, place: upstream.name })
 }
 
-function createNotRun (name: ResultName, message: string, upstream: Upstream): UpstreamOutcome {
+function createNotRunOutcome (name: ResultName, message: string, upstream: Upstream): UpstreamOutcome {
   return { kind: 'notRun', error: createError(name, message, upstream), isLeaving: false, incarnation: 0 }
 }
 
-function createLost (name: ResultName, message: string, upstream: Upstream): UpstreamOutcome {
+function createLostOutcome (name: ResultName, message: string, upstream: Upstream): UpstreamOutcome {
   return { kind: 'lost', error: createError(name, message, upstream) }
 }
--- a/src/services/upstream/node/sendGuard.ts
+++ b/src/services/upstream/node/sendGuard.ts
@@ -1,6 +1,6 @@
 /**
- * Asked right before anything is written to an upstream: what was true when it was chosen may have changed while the
- * request was prepared, waited for a quota, or waited for a connection.
+ * Checks right before a request is written that its upstream still accepts work. The state may have changed since the
+ * upstream was chosen, while the request was prepared, waited for a quota, or waited for a connection.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { IBackoffService } from '../../backoff/common/backoff.ts'
@@ -8,14 +8,14 @@
 import type { ILogService } from '../../log/node/logger.ts'
 import type { UpstreamRegistry } from '../common/upstreamRegistry.ts'
 
-/** Why nothing is sent to an upstream. */
+/** Why a request is not sent to an upstream. */
 export type SendObstacle = 'gone' | 'leaving' | 'evacuated' | 'backingOff'
 
 export interface SendGuardOptions {
   readonly clock: IClock
   readonly log: ILogService
   readonly registry: UpstreamRegistry
-  /** Pauses that upstreams asked for; none without it. */
+  /** Backoffs that upstreams asked for; not checked if missing. */
   readonly backoffs?: Pick<IBackoffService, 'beginSend'>
 }
 
@@ -27,12 +27,15 @@
     this._options = options
   }
 
-  /** Sends that were held back since the start. */
+  /** Number of sends that were withheld since process start. */
   get withheldCount (): number {
     return this._withheldCount
   }
 
-  /** What may be sent counts as sent. The log names the request, or the first one of a call. */
+  /**
+   * Returns whether the request may be sent; true is recorded as a send by the backoff service. `request` is the id to log,
+   * the first one if a call contains several requests.
+   */
   maySend (upstream: string, request: string): boolean {
     const obstacle = this._findObstacle(upstream)
     if (obstacle === undefined) return true
--- a/src/services/upstream/node/upstreamMessages.ts
+++ b/src/services/upstream/node/upstreamMessages.ts
@@ -1,5 +1,5 @@
 /**
- * The bodies of the upstream protocol (docs/UPSTREAMS.md) and their checks.
+ * The bodies of the upstream protocol (docs/UPSTREAMS.md) and their validation.
  */
 import { Either as EffectEither, ParseResult, Schema } from 'effect'
 import { Left, Right } from 'purify-ts'
@@ -9,10 +9,10 @@
 const Count = Schema.Number.pipe(Schema.int(), Schema.nonNegative())
 const Amount = Schema.Number.pipe(Schema.nonNegative())
 
-/** The answer of a plain service. */
+/** The answer of an upstream of kind SERVICE. */
 export const RunAnswer = Schema.Struct({ attempt: Schema.String, output: Schema.String, busyMs: Amount })
 
-/** An upstream's word that it did not run a call, or that the call failed. */
+/** The answer of an upstream that did not run a call, or whose call failed. */
 export const ErrorAnswer = Schema.Struct({
   attempt: Schema.String,
   error: Schema.Literal('BUSY', 'LEAVING', 'REFUSED', 'FAILED', 'UNKNOWN_ATTEMPT'),
@@ -23,7 +23,7 @@
 
 const TokenEvent = Schema.Struct({ attempt: Schema.String, index: Count, text: Schema.String })
 
-/** Checks a token by hand, since there are thousands a second; the schema words the error. */
+/** Validates without the schema, because thousands of tokens arrive per second; the schema is only used to produce the error. */
 export function parseToken (text: string, place: string): Either<PepperwoodError, typeof TokenEvent.Type> {
   try {
     const body = JSON.parse(text) as typeof TokenEvent.Type | null
@@ -51,7 +51,7 @@
 
 export const OrderAnswer = Schema.Struct({ accepted: Schema.Boolean, fencing: Count })
 
-/** Reads and checks a body; the error names the field. */
+/** Parses and validates a body; the error names the invalid field. */
 export function parseBody<A, I> (text: string, schema: Schema.Schema<A, I>, place: string): Either<PepperwoodError, A> {
   let body: unknown
   try {
--- a/src/services/upstream/node/upstreamWatcher.ts
+++ b/src/services/upstream/node/upstreamWatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the reports of the upstreams that this steward watches and turns them into facts.
+ * Polls the load reports of the upstreams that this steward watches and publishes them as facts.
  */
 import { Disposable } from '../../../base/common/disposable.ts'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -13,18 +13,18 @@
   readonly adapter: UpstreamAdapter
   readonly facts: FactStore
   readonly clock: IClock
-  /** The upstreams that this process watches now. */
+  /** The upstreams that this process currently watches. */
   readonly listWatched: () => readonly Upstream[]
   readonly onDidRead: (isOk: boolean) => void
   readonly periodMs?: number
 }
 
-/** How many prefix keys a report passes on; the newest are last. */
+/** Number of prefix keys published per report; the newest are last. */
 const MAX_PREFIXES = 32
 
 export class UpstreamWatcher extends Disposable {
   private readonly _options: UpstreamWatcherOptions
-  private readonly _reading = new Set<string>()
+  private readonly _pendingReads = new Set<string>()
 
   constructor (options: UpstreamWatcherOptions) {
     super()
@@ -34,36 +34,36 @@
 
   private _readAll (): void {
     for (const upstream of this._options.listWatched()) {
-      if (!this._reading.has(upstream.name)) void this._read(upstream)
+      if (!this._pendingReads.has(upstream.name)) void this._read(upstream)
     }
   }
 
   private async _read (upstream: Upstream): Promise<void> {
-    this._reading.add(upstream.name)
+    this._pendingReads.add(upstream.name)
     const result = await this._options.adapter.readReport(upstream)
-    this._reading.delete(upstream.name)
+    this._pendingReads.delete(upstream.name)
     if (this._isDisposed) return
     this._options.onDidRead(result.isRight())
     result.ifRight(report => recordReport(this._options.facts, upstream.name, report, this._options.clock.now()))
   }
 }
 
-/** A report that says the same is passed on so seldom, to show that the upstream still reports. */
-const MAX_UNCHANGED_MS = 2000
-/** A backlog that changed by less than this part of the capacity is not worth a message to everyone. */
-const BACKLOG_STEP = 0.125
+/** An unchanged report is published only once in this period, to show that the upstream still reports. */
+const UNCHANGED_REPORT_PERIOD_MS = 2000
+/** Change of the backlog, as a fraction of the capacity, up to which a report counts as unchanged and saves a broadcast. */
+const MIN_BACKLOG_CHANGE = 0.125
 
-/** Whether a report says nothing that a decision would miss. */
-export function isUnchanged (held: HeldFact | undefined, report: UpstreamReport, now: number): boolean {
-  if (held?.value.kind !== 'load' || held.incarnation !== report.boot) return false
-  const { value } = held
-  if (now - held.observedAt >= MAX_UNCHANGED_MS || value.fencing !== report.fencing || value.capacity !== report.capacity) return false
+/** Whether a report differs too little from the known fact to affect decisions. */
+export function isUnchanged (known: HeldFact | undefined, report: UpstreamReport, now: number): boolean {
+  if (known?.value.kind !== 'load' || known.incarnation !== report.boot) return false
+  const { value } = known
+  if (now - known.observedAt >= UNCHANGED_REPORT_PERIOD_MS || value.fencing !== report.fencing || value.capacity !== report.capacity) return false
   if (value.models.join() !== report.models.join()) return false
-  const step = Math.max(1, report.capacity * BACKLOG_STEP)
-  return Math.abs(value.running + value.queued - report.running - report.queued) <= step
+  const minChange = Math.max(1, report.capacity * MIN_BACKLOG_CHANGE)
+  return Math.abs(value.running + value.queued - report.running - report.queued) <= minChange
 }
 
-/** Facts carry the upstream's own numbers, so it does not matter which steward read the report. */
+/** The fact carries the upstream's own incarnation and report number, so any steward may read and publish the report. */
 export function recordReport (facts: FactStore, upstream: string, report: UpstreamReport, now: number): void {
   const { boot, running, queued, capacity, models, fencing } = report
   if (report.isLeaving) markLeaving(facts, upstream, boot, 'its own report')
@@ -78,7 +78,7 @@
   })
 }
 
-/** Marks an incarnation as leaving, for good. */
+/** Marks an incarnation as leaving; this cannot be undone. */
 export function markLeaving (facts: FactStore, upstream: string, incarnation: number, signal: string): void {
   facts.merge({
     subject: formatLeavingSubject(upstream),
--- a/src/services/upstream/test/httpExchange.test.ts
+++ b/src/services/upstream/test/httpExchange.test.ts
@@ -6,7 +6,7 @@
 
 const test = suite('httpExchange')
 
-test('an exchange that is withheld when its connection is open writes nothing', async () => {
+test('an exchange that is withheld after its connection was opened writes no byte', async () => {
   let bytes = 0
   const server = createServer(socket => { socket.on('data', data => { bytes += data.length }) })
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
--- a/src/services/upstream/test/sendGuard.test.ts
+++ b/src/services/upstream/test/sendGuard.test.ts
@@ -10,7 +10,7 @@
 
 const ENTRY: UpstreamEntry = { id: 'u', role: 'r', address: '127.0.0.1:9', hall: 'x', slots: 8, isLeaving: false }
 
-function createParts () {
+function createFixture () {
   const registry = new UpstreamRegistry()
   const log = new LogService({ program: 'test', silent: true })
   const lines: string[] = []
@@ -19,8 +19,8 @@
   return { registry, lines, guard: new SendGuard({ clock: new VirtualClock(), log, registry }) }
 }
 
-test('a send goes on while the upstream takes work', () => {
-  const { guard, lines } = createParts()
+test('a send is allowed while the upstream accepts work', () => {
+  const { guard, lines } = createFixture()
   assert.ok(guard.maySend('u', 'a1'))
   assert.is(guard.withheldCount, 0)
   assert.is(lines.length, 0)
@@ -31,17 +31,17 @@
   ['evacuated', registry => registry.setEvacuated('x', true)],
   ['gone', registry => registry.drop('u', 'test')]
 ]
-for (const [obstacle, strike] of obstacles) {
-  test(`a send is withheld, counted and logged where the upstream is ${obstacle} by the time it is written`, () => {
-    const { guard, registry, lines } = createParts()
-    strike(registry)
+for (const [obstacle, applyObstacle] of obstacles) {
+  test(`a send is withheld, counted and logged if the upstream is ${obstacle} when it would be written`, () => {
+    const { guard, registry, lines } = createFixture()
+    applyObstacle(registry)
     assert.not(guard.maySend('u', 'a1'))
     assert.is(guard.withheldCount, 1)
     assert.ok(lines.some(line => line.includes(`event=send_withheld request=a1 upstream=u obstacle=${obstacle}`)))
   })
 }
 
-test('a boot that was said to leave before its entry came takes no work', () => {
+test('an instance that was marked as leaving before its entry arrived gets no work', () => {
   const registry = new UpstreamRegistry()
   registry.markLeaving('u', 'peer')
   const changes: string[] = []
@@ -51,8 +51,8 @@
   assert.equal(changes, ['added', 'leaving'])
 })
 
-test('a boot that left stays so when its entry is away for a while and says that it is ready', () => {
-  const { registry } = createParts()
+test('an instance that was leaving stays so when its entry is dropped and returns as ready', () => {
+  const { registry } = createFixture()
   registry.markLeaving('u', 'answer')
   registry.drop('u', 'not listed')
   registry.update(ENTRY, 'list')
