--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -187,7 +187,7 @@
     this._statements = this._register(new NodeStatements({ clock, log, registry: this._registry, noteRate: (upstream, perS) => this._quota.stated.note(upstream, perS) }))
     const { backoffs, guard } = this._statements
     const protocol = new BackoffPieces(new LimitedPieces(options.pieceProtocol, this._quota.service), backoffs, clock)
-    this._register(protocol.onDidState(stated => this._statements.note(stated)))
+    this._register(protocol.onDidReceiveStatement(stated => this._statements.note(stated)))
     this._coordinator = this._register(new PreparationCoordinator({ clock, log, protocol, registry: this._registry, getTable, limits: this._quota.limits, guard }))
     this._preparationServer = this._register(new PreparationServer(this._coordinator, log, (upstream, limit) => this._quota.answer(upstream, limit)))
     this._preparation = this._register(new PreparationClient({
--- a/src/load/lab/labRun.ts
+++ b/src/load/lab/labRun.ts
@@ -5,7 +5,7 @@
 import type { IRandom } from '../../base/common/random.ts'
 import { PreparationPlanner } from '../../services/preparation/common/preparationPlanner.ts'
 import type { PlannedCall } from '../../services/preparation/common/plannedCall.ts'
-import type { CarriedPiece, JobRefusal, MadePiece, PreparationJob } from '../../services/preparation/common/preparationJob.ts'
+import type { CarriedPiece, JobRefusal, ComputedPiece, PreparationJob } from '../../services/preparation/common/preparationJob.ts'
 import { LabUpstreamModel } from './labUpstreamModel.ts'
 import type { LabDeployment, LabKind } from './labDeployment.ts'
 import { scoreRun } from './labScore.ts'
@@ -29,11 +29,11 @@
   askedAt = 0
   isOver = false
   results: readonly string[] = []
-  private readonly _made = new Map<string, MadePiece & { readonly at: number }>()
+  private readonly _made = new Map<string, ComputedPiece & { readonly at: number }>()
 
   constructor (readonly id: string, readonly kind: LabKind, readonly sentAt: number, readonly counts: readonly number[], readonly requestMs: number) {}
 
-  recordMade (pieces: readonly MadePiece[], at: number): void {
+  recordMade (pieces: readonly ComputedPiece[], at: number): void {
     for (const piece of pieces) this._made.set(`${piece.stage}/${piece.index}`, { ...piece, at })
   }
 
@@ -143,7 +143,7 @@
   private _step (): void {
     const now = this._events.now
     for (const call of this._planner.startCalls(now)) this._start(call)
-    for (const news of this._planner.takeNews()) {
+    for (const news of this._planner.dequeueUpdates()) {
       const request = this._requests.get(news.jobId)
       if (request === undefined) continue
       if (news.kind === 'refused') this._refuse(request, news.refusal)
@@ -155,10 +155,10 @@
       }
     }
     const planner = this._planner
-    for (const free of planner.takeFrees()) {
+    for (const free of planner.dequeueFrees()) {
       this._events.schedule(now + FREE_DELAY_MS, () => {
         this._upstreams.get(free.upstreamId)?.free(free.handles)
-        planner.settleFree(free, true, this._events.now)
+        planner.completeFree(free, true, this._events.now)
       })
     }
   }
@@ -189,7 +189,7 @@
     }
     this._events.schedule(endAt, () => {
       if (generation !== this._generation) return
-      this._planner.settleCall(call.id, outcome, this._events.now)
+      this._planner.completeCall(call.id, outcome, this._events.now)
       if (outcome.kind === 'answered') outcome.pieces.forEach((piece, index) => { if (piece.kind === 'made') this._useInputs(call.pieces[index]?.inputs ?? []) })
       this._events.schedule(this._events.now + 2, () => this._step())
     })
--- a/src/services/backoff/node/backoffPieces.ts
+++ b/src/services/backoff/node/backoffPieces.ts
@@ -3,7 +3,7 @@
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { PieceProtocol } from '../../preparation/common/pieceProtocol.ts'
-import type { PieceCallTerms } from '../../preparation/common/pieceProtocol.ts'
+import type { PieceCallOptions } from '../../preparation/common/pieceProtocol.ts'
 import type { PieceCallOutcome, PlannedPiece } from '../../preparation/common/plannedCall.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { IBackoffService } from '../common/backoff.ts'
@@ -23,10 +23,10 @@
 
   constructor (private readonly _inner: PieceProtocol, private readonly _backoffs: IBackoffService, private readonly _clock: IClock) {
     super()
-    _inner.onDidState(stated => this._onDidState.fire(stated))
+    _inner.onDidReceiveStatement(stated => this._onDidReceiveStatement.fire(stated))
   }
 
-  async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallTerms): Promise<PieceCallOutcome> {
+  async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallOptions): Promise<PieceCallOutcome> {
     const waitMs = this._backoffs.getWaitMs(upstream.id)
     if (waitMs > 0) return { kind: 'notRun', reason: 'backingOff', retryInMs: waitMs }
     let sentAt: number | undefined
--- a/src/services/backoff/test/backoffPieces.test.ts
+++ b/src/services/backoff/test/backoffPieces.test.ts
@@ -3,7 +3,7 @@
 import { VirtualClock } from '../../../base/common/clock.ts'
 import { LogService } from '../../log/node/logger.ts'
 import { PieceProtocol } from '../../preparation/common/pieceProtocol.ts'
-import type { FreeTerms, PieceCallTerms } from '../../preparation/common/pieceProtocol.ts'
+import type { FreeOptions, PieceCallOptions } from '../../preparation/common/pieceProtocol.ts'
 import type { PieceCallOutcome } from '../../preparation/common/plannedCall.ts'
 import { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
@@ -14,22 +14,22 @@
 
 const UPSTREAM: UpstreamEntry = { id: 'u', role: 'r', address: '127.0.0.1:9', hall: 'x', slots: 8, isLeaving: false }
 const BACKOFF_MS = 3000
-const TERMS: PieceCallTerms = { timeoutMs: 100 }
+const TERMS: PieceCallOptions = { timeoutMs: 100 }
 
 /** Records the calls that were sent, and can request a backoff in its answers. */
 class FakePieceProtocol extends PieceProtocol {
   readonly sentCalls: string[] = []
   backoffMs = 0
 
-  runPieces (upstream: UpstreamEntry, _pieces: unknown, { onWillSend }: PieceCallTerms): Promise<PieceCallOutcome> {
+  runPieces (upstream: UpstreamEntry, _pieces: unknown, { onWillSend }: PieceCallOptions): Promise<PieceCallOutcome> {
     if (onWillSend?.() === false) return Promise.resolve({ kind: 'notRun', reason: 'withheld' })
     this.sentCalls.push('run')
     if (this.backoffMs === 0) return Promise.resolve({ kind: 'answered', pieces: [] })
-    this._onDidState.fire({ upstream: upstream.id, statements: [{ kind: 'backoff', forMs: this.backoffMs }] })
+    this._onDidReceiveStatement.fire({ upstream: upstream.id, statements: [{ kind: 'backoff', forMs: this.backoffMs }] })
     return Promise.resolve({ kind: 'notRun', reason: 'full' })
   }
 
-  freeResults (_upstream: UpstreamEntry, handles: readonly string[], { onWillSend }: FreeTerms = {}): Promise<boolean> {
+  freeResults (_upstream: UpstreamEntry, handles: readonly string[], { onWillSend }: FreeOptions = {}): Promise<boolean> {
     if (onWillSend?.() === false) return Promise.resolve(false)
     this.sentCalls.push(`free ${handles.join(' ')}`)
     return Promise.resolve(true)
@@ -43,7 +43,7 @@
   const backoffs = new BackoffService({ clock, log: new LogService({ program: 'test', silent: true }), registry })
   const fake = new FakePieceProtocol()
   const pieces = new BackoffPieces(fake, backoffs, clock)
-  pieces.onDidState(({ upstream }) => backoffs.note(upstream, fake.backoffMs))
+  pieces.onDidReceiveStatement(({ upstream }) => backoffs.note(upstream, fake.backoffMs))
   return { clock, registry, backoffs, fake, pieces }
 }
 
--- a/src/services/preparation/common/jobState.ts
+++ b/src/services/preparation/common/jobState.ts
@@ -1,7 +1,7 @@
 /**
  * State of a job at its coordinator: which pieces are waiting, running, computed or freed.
  */
-import { JobClock } from './jobTimes.ts'
+import { JobTimer } from './jobTimes.ts'
 import { StagePieces } from './pieceState.ts'
 import type { PieceState, PieceStatus } from './pieceState.ts'
 import { listLastStages } from './preparationJob.ts'
@@ -38,7 +38,7 @@
   chainHall = ''
   /** Expected time from sending the request to its target to its first event. */
   expectedRequestMs = 0
-  readonly timer: JobClock
+  readonly timer: JobTimer
   private _hasCrashSuspects = false
   private readonly _stages: readonly StagePieces[]
   private readonly _readyAt = new Map<number, number>()
@@ -46,7 +46,7 @@
   constructor (job: PreparationJob, now: number) {
     this.job = job
     this.arrivedAt = now
-    this.timer = new JobClock(now)
+    this.timer = new JobTimer(now)
     this.goalAt = now + job.goalInMs
     this.deadlineAt = now + job.deadlineInMs
     this._stages = job.stages.map(stage => new StagePieces(stage.pieceCount))
--- a/src/services/preparation/common/jobTimes.ts
+++ b/src/services/preparation/common/jobTimes.ts
@@ -13,7 +13,7 @@
 }
 
 /** Measures one job from its arrival. */
-export class JobClock {
+export class JobTimer {
   private _startedAt: number | undefined
   private _runningPieces = 0
   private _runningSince = 0
--- a/src/services/preparation/common/pieceProtocol.ts
+++ b/src/services/preparation/common/pieceProtocol.ts
@@ -6,21 +6,21 @@
 import type { StatedByUpstream } from '../../upstream/common/upstreamStatement.ts'
 import type { PieceCallOutcome, PlannedPiece } from './plannedCall.ts'
 
-export interface PieceCallTerms {
+export interface PieceCallOptions {
   readonly timeoutMs: number
   /** Called when the connection is open, just before the call is written; returning false withholds the call. */
   readonly onWillSend?: () => boolean
 }
 
-export type FreeTerms = Pick<PieceCallTerms, 'onWillSend'>
+export type FreeOptions = Pick<PieceCallOptions, 'onWillSend'>
 
 export abstract class PieceProtocol {
-  protected readonly _onDidState = new Emitter<StatedByUpstream>()
+  protected readonly _onDidReceiveStatement = new Emitter<StatedByUpstream>()
   /** Fires for statements about its own state that an upstream sends with an answer. */
-  readonly onDidState = this._onDidState.event
+  readonly onDidReceiveStatement = this._onDidReceiveStatement.event
 
   /** Runs pieces in one call. Never rejects. */
-  abstract runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallTerms): Promise<PieceCallOutcome>
+  abstract runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallOptions): Promise<PieceCallOutcome>
   /** Frees results; resolves to false if the upstream did not confirm it. */
-  abstract freeResults (upstream: UpstreamEntry, handles: readonly string[], terms?: FreeTerms): Promise<boolean>
+  abstract freeResults (upstream: UpstreamEntry, handles: readonly string[], terms?: FreeOptions): Promise<boolean>
 }
--- a/src/services/preparation/common/planSearch.ts
+++ b/src/services/preparation/common/planSearch.ts
@@ -27,7 +27,7 @@
   private _refusalCount = 0
   private _current: PlanChoice | undefined
 
-  get asked (): PlanChoice | undefined {
+  get currentChoice (): PlanChoice | undefined {
     return this._current
   }
 
@@ -43,12 +43,12 @@
   }
 
   /** Records that the chosen plan declined the job, and its forecast completion time. */
-  noteDeclined (endInMs: number): void {
+  recordDecline (endInMs: number): void {
     if (this._current !== undefined) this._completionMs.set(this._current.hall, endInMs)
   }
 
   /** Records that the chosen plan refused the job. Returns whether to search again; otherwise the refusal is final. */
-  noteRefused (plans: readonly string[]): boolean {
+  recordRefusal (plans: readonly string[]): boolean {
     const refusingHall = this._current?.hall
     if (refusingHall === undefined || this._refusalCount >= MAX_RETRIES_AFTER_REFUSAL || plans.every(hall => hall === refusingHall)) return false
     this._refusalCount++
--- a/src/services/preparation/common/plannedCall.ts
+++ b/src/services/preparation/common/plannedCall.ts
@@ -2,7 +2,7 @@
  * Planned calls, their outcomes, and the updates that owners of jobs receive.
  */
 import type { JobTimes } from './jobTimes.ts'
-import type { JobRefusal, MadePiece, PieceResult } from './preparationJob.ts'
+import type { JobRefusal, ComputedPiece, PieceResult } from './preparationJob.ts'
 
 /** A piece as it is sent to an upstream. */
 export interface PlannedPiece {
@@ -38,18 +38,18 @@
   /** Nothing was sent: the upstream is rate limited, or asked its callers to back off. */
   | { readonly kind: 'notRun', readonly reason: 'limited' | 'backingOff', readonly retryInMs: number }
   /** The flag is set if the upstream did not crash: it sent an unexpected answer, or kept the connection open until the timeout. */
-  | { readonly kind: 'lost', readonly reason: string, readonly isThere?: boolean }
+  | { readonly kind: 'lost', readonly reason: string, readonly isUpstreamAlive?: boolean }
 
 /** Whether the upstream may have crashed during the call. */
 export function isPossibleCrash (outcome: PieceCallOutcome): boolean {
-  return outcome.kind === 'lost' && outcome.isThere !== true
+  return outcome.kind === 'lost' && outcome.isUpstreamAlive !== true
 }
 
 /** An update that the owner of a job receives. */
-export type JobNews =
+export type JobUpdate =
   | JobEnd
   /** Results that are stored at upstreams; another coordinator can continue from them. */
-  | { readonly kind: 'made', readonly jobId: string, readonly pieces: readonly MadePiece[] }
+  | { readonly kind: 'made', readonly jobId: string, readonly pieces: readonly ComputedPiece[] }
   | LostCall
   /** The job was an offer, and would miss its goal. */
   | { readonly kind: 'declined', readonly jobId: string, readonly endInMs: number }
--- a/src/services/preparation/common/prefixBook.ts
+++ b/src/services/preparation/common/prefixIndex.ts
@@ -11,7 +11,7 @@
 }
 
 /** Prefixes that were sent to an upstream, in the form that is exchanged between nodes. */
-export interface PrefixNote {
+export interface PrefixEntry {
   readonly shared: readonly SharedPrefix[]
   readonly targetId: string
   readonly ageMs: number
@@ -32,7 +32,7 @@
 const RETENTION_MS = 60_000
 const MAX_PREFIXES = 5000
 
-export class PrefixBook {
+export class PrefixIndex {
   /** By key, the least recently used first. */
   private readonly _prefixes = new Map<string, IndexedPrefix>()
 
@@ -48,7 +48,7 @@
   }
 
   /** Returns the tokens of the longest prefix that the upstream most likely still has cached. */
-  countKept (shared: readonly SharedPrefix[], targetId: string, now: number): number {
+  countCachedTokens (shared: readonly SharedPrefix[], targetId: string, now: number): number {
     return this._countLongest(shared, key => now - (this._prefixes.get(key)?.lastSentAt.get(targetId) ?? -Infinity) < RETENTION_MS)
   }
 
@@ -67,12 +67,12 @@
     return shared.some(({ key }) => (this._prefixes.get(key)?.lastSentAt.size ?? 0) > 0)
   }
 
-  drop (targetId: string): void {
+  removeTarget (targetId: string): void {
     for (const { lastSentAt } of this._prefixes.values()) lastSentAt.delete(targetId)
   }
 
   /** Returns the most recently used entries, up to `maxCount`. */
-  list (maxCount: number, now: number): readonly PrefixNote[] {
+  list (maxCount: number, now: number): readonly PrefixEntry[] {
     const entries = [...this._prefixes.values()].slice(-maxCount)
     return entries.flatMap(({ shared, lastSentAt }) => [...lastSentAt].map(([targetId, at]) => ({ shared, targetId, ageMs: Math.max(0, now - at) }))).slice(-maxCount)
   }
--- a/src/services/preparation/common/preparationJob.ts
+++ b/src/services/preparation/common/preparationJob.ts
@@ -1,7 +1,7 @@
 /**
  * Work that has to be done before a request can run: a graph of stages, each of which consists of pieces.
  */
-import type { SharedPrefix } from './prefixBook.ts'
+import type { SharedPrefix } from './prefixIndex.ts'
 
 export interface JobStage {
   readonly role: string
@@ -55,14 +55,14 @@
 }
 
 /** A result along with the piece of a job that it belongs to. */
-export interface MadePiece {
+export interface ComputedPiece {
   readonly stage: number
   readonly index: number
   readonly result: PieceResult
 }
 
 /** A result that was computed under an earlier plan. */
-export interface CarriedPiece extends MadePiece {
+export interface CarriedPiece extends ComputedPiece {
   readonly ageMs: number
 }
 
--- a/src/services/preparation/common/preparationMessage.ts
+++ b/src/services/preparation/common/preparationMessage.ts
@@ -14,7 +14,7 @@
 /** Maximum number of upstreams that a job may exclude as targets of its request. */
 export const MAX_EXCLUDED_TARGETS = 200
 /** Maximum number of prefix cache entries in one message. */
-export const MAX_PREFIX_NOTES = 400
+export const MAX_PREFIX_ENTRIES = 400
 
 const StageSchema = Schema.Struct({
   role: Id,
@@ -92,7 +92,7 @@
   Schema.Struct({
     kind: Schema.Literal('prefixes'),
     hall: Schema.String.pipe(Schema.maxLength(256)),
-    notes: Schema.Array(Schema.Struct({ shared: SharedPrefixesSchema, targetId: Id, ageMs: NonNegative })).pipe(Schema.maxItems(MAX_PREFIX_NOTES))
+    notes: Schema.Array(Schema.Struct({ shared: SharedPrefixesSchema, targetId: Id, ageMs: NonNegative })).pipe(Schema.maxItems(MAX_PREFIX_ENTRIES))
   }),
   /** Asks the coordinator of a hall for permission to send one request to a rate limited upstream of that hall. */
   Schema.Struct({
--- a/src/services/preparation/common/preparationPlanner.ts
+++ b/src/services/preparation/common/preparationPlanner.ts
@@ -15,7 +15,7 @@
 import { PieceUpstreams } from './pieceUpstreams.ts'
 import { PendingFrees } from './pendingFrees.ts'
 import { isPossibleCrash } from './plannedCall.ts'
-import type { JobNews, PieceCallOutcome, PieceOutcome, PlannedCall, PlannedFree } from './plannedCall.ts'
+import type { JobUpdate, PieceCallOutcome, PieceOutcome, PlannedCall, PlannedFree } from './plannedCall.ts'
 import { hasPieces } from './preparationJob.ts'
 import type { AdmissionOptions, JobDecline, JobRefusal, NewJobOptions, PieceResult, PreparationJob } from './preparationJob.ts'
 import { measurePlanLoad } from './planLoad.ts'
@@ -23,7 +23,7 @@
 import { createPlannedPiece, getPiece, createLostUpdates, createComputedUpdates } from './readyPiece.ts'
 import type { PieceKey, ReadyPiece } from './readyPiece.ts'
 import { findMainHall } from './resultHalls.ts'
-import type { PrefixNote } from './prefixBook.ts'
+import type { PrefixEntry } from './prefixIndex.ts'
 import type { TargetReport } from './targetPlanner.ts'
 
 interface StartedCall {
@@ -56,7 +56,7 @@
   private readonly _jobResults = new JobResults(this._upstreams, this._pendingFrees)
   private readonly _targets: JobTargets
   private readonly _blockedJobs = new Set<JobState>()
-  private _updates: JobNews[] = []
+  private _updates: JobUpdate[] = []
   private _nextCallId = 1
   private _forecastAt = -Infinity
   private _isDraining = false
@@ -70,7 +70,7 @@
     return this._jobs.size
   }
 
-  get hasFrees (): boolean {
+  get hasPendingFrees (): boolean {
     return !this._pendingFrees.isEmpty
   }
 
@@ -83,13 +83,13 @@
   }
 
   /** Sets whether the upstream accepts new calls. Results that it holds can be fetched in either case. */
-  setTakesWork (upstreamId: string, acceptsWork: boolean): void {
+  setAcceptsWork (upstreamId: string, acceptsWork: boolean): void {
     const upstream = this._upstreams.get(upstreamId)
     if (upstream !== undefined) upstream.acceptsWork = acceptsWork
   }
 
   /** Removes an upstream. Its results are lost, and those that are still needed are recomputed. */
-  dropUpstream (upstreamId: string): void {
+  removeUpstream (upstreamId: string): void {
     this._targets.planner.removeTarget(upstreamId)
     if (!this._upstreams.delete(upstreamId)) return
     this._pendingFrees.discard(upstreamId)
@@ -121,13 +121,13 @@
   }
 
   /** Merges prefix cache entries that owners of jobs have recorded. */
-  addPrefixes (prefixEntries: readonly PrefixNote[], now: number): void {
+  addPrefixes (prefixEntries: readonly PrefixEntry[], now: number): void {
     this._targets.planner.addPrefixes(prefixEntries, now)
   }
 
   /** Records the outcome of a request at its target. */
   reportTarget (jobId: string, report: TargetReport, now: number): void {
-    this._targets.planner.settle(jobId, report, now)
+    this._targets.planner.recordReport(jobId, report, now)
   }
 
   /** Removes a job whose owner no longer needs the results. Its results are freed, and no further pieces start. */
@@ -143,12 +143,12 @@
    * Stops starting calls. Jobs leave once they have no running call; their results stay at the upstreams, so that the next
    * plan can reuse them.
    */
-  end (): void {
+  beginDraining (): void {
     this._isDraining = true
   }
 
   /** Removes and returns the jobs of a draining plan that have no running call. */
-  takeIdleJobs (): readonly string[] {
+  removeIdleJobs (): readonly string[] {
     if (!this._isDraining) return []
     const idleJobs = [...this._jobs.values()].filter(state => !state.isHandedOver && !state.isRunning)
     for (const state of idleJobs) this._jobs.delete(state.job.id)
@@ -201,7 +201,7 @@
   }
 
   /** Records the outcome of a call. */
-  settleCall (callId: number, outcome: PieceCallOutcome, now: number): void {
+  completeCall (callId: number, outcome: PieceCallOutcome, now: number): void {
     const started = this._calls.get(callId)
     if (started === undefined) return
     this._calls.delete(callId)
@@ -224,18 +224,18 @@
   }
 
   /** Returns the updates for owners of jobs since the last call, and clears them. */
-  takeNews (): readonly JobNews[] {
+  dequeueUpdates (): readonly JobUpdate[] {
     const updates = this._updates
     this._updates = []
     return updates
   }
 
   /** Returns the results to free at upstreams since the last call, and clears them. */
-  takeFrees (): readonly PlannedFree[] {
+  dequeueFrees (): readonly PlannedFree[] {
     return this._pendingFrees.dequeueAll()
   }
 
-  settleFree (free: PlannedFree, isDone: boolean, now: number): void {
+  completeFree (free: PlannedFree, isDone: boolean, now: number): void {
     const upstream = this._upstreams.get(free.upstreamId)
     if (isDone) upstream?.releaseRoom(free.bytes)
     else upstream?.retainRoom(free.bytes, now)
--- a/src/services/preparation/common/readyPiece.ts
+++ b/src/services/preparation/common/readyPiece.ts
@@ -4,8 +4,8 @@
 import type { JobState } from './jobState.ts'
 import type { PieceState } from './pieceState.ts'
 import type { PieceUpstream } from './pieceUpstream.ts'
-import type { JobNews, LostCall, PlannedPiece } from './plannedCall.ts'
-import type { MadePiece } from './preparationJob.ts'
+import type { JobUpdate, LostCall, PlannedPiece } from './plannedCall.ts'
+import type { ComputedPiece } from './preparationJob.ts'
 
 export interface PieceKey {
   readonly state: JobState
@@ -30,8 +30,8 @@
 }
 
 /** Tells owners of unfinished jobs which upstream holds which result, so that their jobs can continue if this plan is lost. */
-export function createComputedUpdates (pieces: readonly PieceKey[]): readonly JobNews[] {
-  const byJob = new Map<string, MadePiece[]>()
+export function createComputedUpdates (pieces: readonly PieceKey[]): readonly JobUpdate[] {
+  const byJob = new Map<string, ComputedPiece[]>()
   for (const key of pieces) {
     const { status, result } = getPiece(key)
     const { job, isDone } = key.state
@@ -41,7 +41,7 @@
 }
 
 /** Reports a possible crash to the owners of all jobs in the call: they know the request, and decide whether it is to blame. */
-export function createLostUpdates (pieces: readonly PieceKey[], call: Pick<LostCall, 'upstreamId' | 'sentBeforeMs'>): readonly JobNews[] {
+export function createLostUpdates (pieces: readonly PieceKey[], call: Pick<LostCall, 'upstreamId' | 'sentBeforeMs'>): readonly JobUpdate[] {
   const jobIds = new Set(pieces.map(piece => piece.state.job.id))
   return [...jobIds].map(jobId => ({ kind: 'lost', jobId, ...call }))
 }
--- a/src/services/preparation/common/releaseDelay.ts
+++ b/src/services/preparation/common/releaseDelay.ts
@@ -15,17 +15,17 @@
 export class ReleaseDelay {
   private _factor = 1
 
-  compute (bytes: number): number {
+  computeDelayMs (bytes: number): number {
     return (BASE_MS + bytes / BYTES_PER_MS) * this._factor
   }
 
   /** Records that a request found its inputs. */
-  noteTaken (): void {
+  recordSuccess (): void {
     this._factor = Math.max(1, this._factor * DECAY_PER_REQUEST)
   }
 
   /** Records that an upstream did not find inputs that were already released. */
-  noteMissing (): void {
+  recordMissing (): void {
     this._factor = Math.min(MAX_FACTOR, this._factor * GROWTH_FACTOR)
   }
 }
--- a/src/services/preparation/common/targetPlanner.ts
+++ b/src/services/preparation/common/targetPlanner.ts
@@ -7,8 +7,8 @@
 import type { HealthTracker } from '../../health/common/healthTracker.ts'
 import { TokenBucket } from '../../quota/common/tokenBucket.ts'
 import type { RateLimit } from '../../quota/common/tokenBucket.ts'
-import { PrefixBook } from './prefixBook.ts'
-import type { PrefixHolder, PrefixNote } from './prefixBook.ts'
+import { PrefixIndex } from './prefixIndex.ts'
+import type { PrefixHolder, PrefixEntry } from './prefixIndex.ts'
 import type { RequestShape } from './preparationJob.ts'
 
 export interface TargetCandidate {
@@ -20,7 +20,7 @@
   readonly limit?: RateLimit
 }
 
-export interface TargetQuestion {
+export interface TargetQuery {
   readonly shape: RequestShape
   readonly candidates: readonly TargetCandidate[]
   /** Bytes of the results that are already computed, by the hall that holds them. */
@@ -35,7 +35,7 @@
   /** Expected time until the first event, queueing included. */
   readonly costMs: number
   /** Tokens that the target has to process itself. */
-  readonly readTokens: number
+  readonly prefillTokens: number
   /** The upstream that it should fetch the cached prefix from; empty if there is none. */
   readonly prefixSourceId: string
 }
@@ -45,12 +45,12 @@
   readonly jobId: string
   readonly shape: RequestShape
   readonly targetId: string
-  readonly readTokens: number
+  readonly prefillTokens: number
 }
 
 /** How many tokens of a prompt a target would process itself, and how many it would fetch from the cache of another upstream. */
 interface PrefillPlan {
-  readonly readTokens: number
+  readonly prefillTokens: number
   readonly transferTokens: number
   readonly prefixSourceId: string
 }
@@ -116,11 +116,11 @@
 export class TargetPlanner {
   private readonly _targets = new Map<string, TargetState>()
   private readonly _assignments = new Map<string, Assignment>()
-  private readonly _prefixes = new PrefixBook()
+  private readonly _prefixes = new PrefixIndex()
   private readonly _buckets = new Map<string, TokenBucket>()
 
   /** Returns the candidate with the lowest cost; undefined if none accepts a request now. */
-  choose (query: TargetQuestion, now: number): TargetChoice | undefined {
+  choose (query: TargetQuery, now: number): TargetChoice | undefined {
     const { shape } = query
     const candidates = query.candidates.filter(candidate => this._getWaitMs(candidate, now) === 0)
     const responsive = candidates.filter(candidate => this._isUsable(this._getTarget(candidate.id), now))
@@ -135,7 +135,7 @@
       const score = costMs + this._scoreWork(query, candidate, preferredId, plan)
       if (score >= bestScore) continue
       bestScore = score
-      best = { id: candidate.id, hall: candidate.hall, costMs, readTokens: plan.readTokens, prefixSourceId: plan.prefixSourceId }
+      best = { id: candidate.id, hall: candidate.hall, costMs, prefillTokens: plan.prefillTokens, prefixSourceId: plan.prefixSourceId }
     }
     return best
   }
@@ -166,14 +166,14 @@
 
   /** A prefix that another upstream has cached is fetched from there: that is several times as fast as processing it again. */
   private _planPrefill (shape: RequestShape, { id, msPerMovedToken }: TargetCandidate, prefixHolder: PrefixHolder | undefined, now: number): PrefillPlan {
-    const cachedTokens = this._prefixes.countKept(shape.shared, id, now)
+    const cachedTokens = this._prefixes.countCachedTokens(shape.shared, id, now)
     const transferableTokens = prefixHolder === undefined || prefixHolder.id === id || !Number.isFinite(msPerMovedToken) ? 0 : prefixHolder.tokens - cachedTokens
     const transferTokens = transferableTokens >= MIN_TRANSFER_TOKENS ? transferableTokens : 0
-    return { readTokens: Math.max(0, shape.inputTokens - cachedTokens - transferTokens), transferTokens, prefixSourceId: transferTokens > 0 ? prefixHolder?.id ?? '' : '' }
+    return { prefillTokens: Math.max(0, shape.inputTokens - cachedTokens - transferTokens), transferTokens, prefixSourceId: transferTokens > 0 ? prefixHolder?.id ?? '' : '' }
   }
 
   /** Counts a request as pending at its target. */
-  assign ({ jobId, shape, targetId, readTokens: tokens }: TargetRequest, now: number): void {
+  assign ({ jobId, shape, targetId, prefillTokens: tokens }: TargetRequest, now: number): void {
     this._removeAssignment(jobId)
     const target = this._getTarget(targetId)
     const expectedMs = estimatePrefillMs(target, tokens)
@@ -186,7 +186,7 @@
   }
 
   /** Ends the pending time of a request: its first event arrived, or none will. */
-  settle (jobId: string, report: TargetReport, now: number): void {
+  recordReport (jobId: string, report: TargetReport, now: number): void {
     const assignment = this._removeAssignment(jobId)
     if (assignment === undefined || report.outcome === 'unused') return
     const target = this._getTarget(assignment.targetId)
@@ -202,11 +202,11 @@
   removeTarget (targetId: string): void {
     this._targets.delete(targetId)
     this._buckets.delete(targetId)
-    this._prefixes.drop(targetId)
+    this._prefixes.removeTarget(targetId)
   }
 
   /** Merges prefix cache entries that others have recorded. */
-  addPrefixes (prefixEntries: readonly PrefixNote[], now: number): void {
+  addPrefixes (prefixEntries: readonly PrefixEntry[], now: number): void {
     for (const { shared, targetId, ageMs } of prefixEntries) this._prefixes.add(shared, targetId, now - ageMs)
   }
 
@@ -221,18 +221,18 @@
     return overdueCount < MIN_OVERDUE_REQUESTS
   }
 
-  private _estimateFirstEventMs ({ waitByHall }: TargetQuestion, candidate: TargetCandidate, { readTokens, transferTokens }: PrefillPlan): number {
+  private _estimateFirstEventMs ({ waitByHall }: TargetQuery, candidate: TargetCandidate, { prefillTokens: prefillTokens, transferTokens }: PrefillPlan): number {
     const target = this._getTarget(candidate.id)
     const transferMs = transferTokens > 0 ? transferTokens * candidate.msPerMovedToken : 0
-    return estimatePrefillMs(target, readTokens) + transferMs + (waitByHall.get(candidate.hall) ?? 0)
+    return estimatePrefillMs(target, prefillTokens) + transferMs + (waitByHall.get(candidate.hall) ?? 0)
   }
 
   /** Scores the work that the choice causes for the fleet, beyond the time of this request; in milliseconds. */
-  private _scoreWork ({ shape, bytesByHall }: TargetQuestion, candidate: TargetCandidate, preferredTarget: string, { readTokens, transferTokens }: PrefillPlan): number {
+  private _scoreWork ({ shape, bytesByHall }: TargetQuery, candidate: TargetCandidate, preferredTarget: string, { prefillTokens: prefillTokens, transferTokens }: PrefillPlan): number {
     const longest = shape.shared.slice(-1)
     const sharedTokens = longest[0]?.tokens ?? 0
     const isKnown = this._prefixes.isKnown(longest)
-    const recomputedTokens = isKnown ? Math.max(0, readTokens - (shape.inputTokens - sharedTokens)) : 0
+    const recomputedTokens = isKnown ? Math.max(0, prefillTokens - (shape.inputTokens - sharedTokens)) : 0
     const discountedTokens = candidate.id === preferredTarget && !isKnown ? sharedTokens : 0
     const workTokens = recomputedTokens * RECOMPUTE_WEIGHT + transferTokens * TRANSFER_WEIGHT - discountedTokens * PREFERRED_TARGET_DISCOUNT
     let transferBytes = 0
@@ -263,8 +263,8 @@
 }
 
 /** Estimates the time to the first event of a request with so many tokens, queued behind the pending ones. */
-function estimatePrefillMs ({ pendingTokens, msPerToken }: TargetState, readTokens: number): number {
-  return FIRST_EVENT_BASE_MS + (pendingTokens + readTokens) * msPerToken
+function estimatePrefillMs ({ pendingTokens, msPerToken }: TargetState, prefillTokens: number): number {
+  return FIRST_EVENT_BASE_MS + (pendingTokens + prefillTokens) * msPerToken
 }
 
 /** Chooses by rendezvous hashing, so that all coordinators prefer the same target for a prefix. */
--- a/src/services/preparation/node/coordinatorLink.ts
+++ b/src/services/preparation/node/coordinatorLink.ts
@@ -10,7 +10,7 @@
 import { FrameConnection } from '../../../base/node/frameConnection.ts'
 import { startInterval } from '../../../base/node/interval.ts'
 import type { ToldLimit } from '../../quota/common/toldLimits.ts'
-import type { JobNews } from '../common/plannedCall.ts'
+import type { JobUpdate } from '../common/plannedCall.ts'
 import { checkPreparationMessage } from '../common/preparationMessage.ts'
 import type { PreparationMessage } from '../common/preparationMessage.ts'
 
@@ -22,9 +22,9 @@
 
 export type QuotaAnswer = PreparationMessage & { readonly kind: 'quotaAnswered' }
 
-const JOB_UPDATE_KINDS: ReadonlySet<string> = new Set<JobNews['kind']>(['prepared', 'refused', 'declined', 'made', 'lost', 'moved'])
+const JOB_UPDATE_KINDS: ReadonlySet<string> = new Set<JobUpdate['kind']>(['prepared', 'refused', 'declined', 'made', 'lost', 'moved'])
 
-function isJobUpdate (message: PreparationMessage): message is PreparationMessage & JobNews {
+function isJobUpdate (message: PreparationMessage): message is PreparationMessage & JobUpdate {
   return JOB_UPDATE_KINDS.has(message.kind)
 }
 
@@ -34,7 +34,7 @@
 const SILENCE_TIMEOUT_MS = 600
 
 export class CoordinatorLink extends Disposable {
-  private readonly _onDidReceiveUpdate = this._register(new Emitter<JobNews>())
+  private readonly _onDidReceiveUpdate = this._register(new Emitter<JobUpdate>())
   private readonly _onDidReceiveQuotaAnswer = this._register(new Emitter<QuotaAnswer>())
   private readonly _onDidClose = this._register(new Emitter<void>())
   readonly onDidReceiveUpdate = this._onDidReceiveUpdate.event
--- a/src/services/preparation/node/openJob.ts
+++ b/src/services/preparation/node/openJob.ts
@@ -2,7 +2,7 @@
  * A job as its owner tracks it: which coordinator plans it, and which results it has, so that another coordinator can
  * continue from these.
  */
-import type { CarriedPiece, MadePiece, PreparationJob } from '../common/preparationJob.ts'
+import type { CarriedPiece, ComputedPiece, PreparationJob } from '../common/preparationJob.ts'
 import type { JobEnd, LostCall } from '../common/plannedCall.ts'
 import type { LostPiecesListener } from '../common/preparationService.ts'
 import { PlanSearch } from '../common/planSearch.ts'
@@ -39,7 +39,7 @@
     this.onDidLose({ upstreamId, sentAt: now - sentBeforeMs, endedAt: now })
   }
 
-  recordResults (pieces: readonly MadePiece[], now: number): void {
+  recordResults (pieces: readonly ComputedPiece[], now: number): void {
     for (const piece of pieces) this._results.set(`${piece.stage}/${piece.index}`, { ...piece, receivedAt: now })
   }
 
@@ -56,6 +56,6 @@
   }
 }
 
-interface OwnedPiece extends MadePiece {
+interface OwnedPiece extends ComputedPiece {
   readonly receivedAt: number
 }
--- a/src/services/preparation/node/preparationClient.ts
+++ b/src/services/preparation/node/preparationClient.ts
@@ -14,11 +14,11 @@
 import { chooseCoordinator, listHomePlans, listPlans } from '../common/coordinatorChoice.ts'
 import type { CoordinatorCandidate, PlannedUpstream } from '../common/coordinatorChoice.ts'
 import type { IPreparationService, IPreparedInputs, LostPiecesListener } from '../common/preparationService.ts'
-import { MAX_PREFIX_NOTES } from '../common/preparationMessage.ts'
-import { PrefixBook } from '../common/prefixBook.ts'
-import type { PrefixNote } from '../common/prefixBook.ts'
+import { MAX_PREFIX_ENTRIES } from '../common/preparationMessage.ts'
+import { PrefixIndex } from '../common/prefixIndex.ts'
+import type { PrefixEntry } from '../common/prefixIndex.ts'
 import type { PieceProtocol } from '../common/pieceProtocol.ts'
-import type { JobEnd, JobNews } from '../common/plannedCall.ts'
+import type { JobEnd, JobUpdate } from '../common/plannedCall.ts'
 import type { TargetReport } from '../common/targetPlanner.ts'
 import type { CoordinatorLink, CoordinatorLinkOptions } from './coordinatorLink.ts'
 import { CoordinatorLinks } from './coordinatorLinks.ts'
@@ -69,7 +69,7 @@
   private readonly _options: PreparationClientOptions
   private readonly _jobs = new Map<string, OwnedJob>()
   private readonly _links: CoordinatorLinks
-  private readonly _prefixes = new PrefixBook()
+  private readonly _prefixes = new PrefixIndex()
   private readonly _backoffUntil = new Map<string, number>()
 
   constructor (options: PreparationClientOptions) {
@@ -147,8 +147,8 @@
     this._options.coordinator.addPrefixes(hall, this._listPrefixes())
   }
 
-  private _listPrefixes (): readonly PrefixNote[] {
-    return this._prefixes.list(MAX_PREFIX_NOTES, this._options.clock.now())
+  private _listPrefixes (): readonly PrefixEntry[] {
+    return this._prefixes.list(MAX_PREFIX_ENTRIES, this._options.clock.now())
   }
 
   private _listCarriedPieces (ownedJob: OwnedJob): readonly CarriedPiece[] {
@@ -164,7 +164,7 @@
   }
 
   /** If a plan lacks capacity or upstreams, or would finish late, the job is submitted to another plan. */
-  private _handleUpdate (ownedJob: OwnedJob, update: JobNews): void {
+  private _handleUpdate (ownedJob: OwnedJob, update: JobUpdate): void {
     if (this._jobs.get(ownedJob.job.id) !== ownedJob) return
     if (update.kind === 'made') return ownedJob.recordResults(update.pieces, this._options.clock.now())
     if (update.kind === 'lost') return ownedJob.recordLostCall(update, this._options.clock.now())
@@ -172,7 +172,7 @@
     // A coordinator that refuses a job frees its results.
     ownedJob.forgetResults()
     if (update.kind === 'prepared') return this._complete(ownedJob, update)
-    if (update.kind === 'declined') ownedJob.search.noteDeclined(update.endInMs)
+    if (update.kind === 'declined') ownedJob.search.recordDecline(update.endInMs)
     else if (!this._recordRefusal(ownedJob, update.refusal)) return this._complete(ownedJob, update)
     if (ownedJob.link !== undefined) ownedJob.link.openJobCount--
     void this._submit(ownedJob)
@@ -181,8 +181,8 @@
   /** Returns whether the job may be submitted to another plan. */
   private _recordRefusal (ownedJob: OwnedJob, { reason }: JobRefusal): boolean {
     if (reason === 'tooLate') return false
-    if (reason !== 'noUpstream' || ownedJob.search.asked?.isOffer !== true) return ownedJob.search.noteRefused(this._listJobPlans(ownedJob))
-    ownedJob.search.noteDeclined(Infinity)
+    if (reason !== 'noUpstream' || ownedJob.search.currentChoice?.isOffer !== true) return ownedJob.search.recordRefusal(this._listJobPlans(ownedJob))
+    ownedJob.search.recordDecline(Infinity)
     return true
   }
 
--- a/src/services/preparation/node/preparationCoordinator.ts
+++ b/src/services/preparation/node/preparationCoordinator.ts
@@ -11,9 +11,9 @@
 import type { SendGuard } from '../../upstream/node/sendGuard.ts'
 import type { UpstreamChange, UpstreamEntry, UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { PieceProtocol } from '../common/pieceProtocol.ts'
-import type { JobNews, PlannedCall, PlannedFree } from '../common/plannedCall.ts'
+import type { JobUpdate, PlannedCall, PlannedFree } from '../common/plannedCall.ts'
 import type { CarriedPiece, JobRefusal, PreparationJob } from '../common/preparationJob.ts'
-import type { PrefixNote } from '../common/prefixBook.ts'
+import type { PrefixEntry } from '../common/prefixIndex.ts'
 import type { TargetReport } from '../common/targetPlanner.ts'
 import { PlanLog } from './planLog.ts'
 import { PlanShard, TrackedJob } from './planShard.ts'
@@ -42,7 +42,7 @@
 }
 
 /** Receives the updates of one job. */
-export type JobListener = (update: JobNews) => void
+export type JobListener = (update: JobUpdate) => void
 
 /** Interval at which deadlines and result lifetimes are checked while there are jobs. */
 const SWEEP_PERIOD_MS = 50
@@ -149,7 +149,7 @@
     this._options.log.info('plan_ending', { hall: shard.hall, jobs: shard.planner.jobCount })
     this._shards.delete(shard.hall)
     this._drainingShards.add(shard)
-    shard.planner.end()
+    shard.planner.beginDraining()
     this._deliverUpdates(shard)
   }
 
@@ -196,7 +196,7 @@
   }
 
   /** Adds an owner's records of the prompt prefixes that upstreams have processed. */
-  addPrefixes (hall: string, notes: readonly PrefixNote[]): void {
+  addPrefixes (hall: string, notes: readonly PrefixEntry[]): void {
     this._getShard(hall).planner.addPrefixes(notes, this._options.clock.now())
   }
 
@@ -295,7 +295,7 @@
       if (outcome.kind === 'notRun' && outcome.reason === 'otherUpstream') registry.dropForGood(call.upstreamId, 'address answers as another')
     }
     this._planLog.recordCall(call, { outcome, tookMs: clock.now() - startedAt, registryAge })
-    shard.planner.settleCall(call.id, outcome, clock.now())
+    shard.planner.completeCall(call.id, outcome, clock.now())
     this._deliverUpdates(shard)
     this._scheduleDispatch(shard)
   }
@@ -308,14 +308,14 @@
   }
 
   private _deliverUpdates (shard: PlanShard): void {
-    for (const update of shard.planner.takeNews()) {
+    for (const update of shard.planner.dequeueUpdates()) {
       const listener = this._listeners.get(update.jobId)
       if (update.kind !== 'made' && update.kind !== 'lost') this._listeners.delete(update.jobId)
       if (update.kind === 'refused') this._removeRefusedJob(update.jobId, update.refusal, shard)
       else if (update.kind === 'prepared') this._planLog.recordPrepared(update)
       listener?.(update)
     }
-    for (const jobId of shard.planner.takeIdleJobs()) this._notifyMoved(jobId)
+    for (const jobId of shard.planner.removeIdleJobs()) this._notifyMoved(jobId)
   }
 
   private _removeRefusedJob (jobId: string, refusal: JobRefusal, shard: PlanShard): void {
@@ -324,12 +324,12 @@
   }
 
   private _scheduleFrees (shard: PlanShard): void {
-    if (shard.isFreeScheduled || !shard.planner.hasFrees) return
+    if (shard.isFreeScheduled || !shard.planner.hasPendingFrees) return
     shard.isFreeScheduled = true
     this._options.clock.schedule(FREE_DELAY_MS, () => {
       shard.isFreeScheduled = false
       if (this._isDisposed) return
-      for (const free of shard.planner.takeFrees()) void this._freeResults(shard, free)
+      for (const free of shard.planner.dequeueFrees()) void this._freeResults(shard, free)
     })
   }
 
@@ -340,13 +340,13 @@
     const canFree = upstream !== undefined && !registry.isEvacuated(upstream.hall)
     const isDone = canFree && await protocol.freeResults(upstream, free.handles)
     if (this._isDisposed) return
-    shard.planner.settleFree(free, isDone, this._options.clock.now())
+    shard.planner.completeFree(free, isDone, this._options.clock.now())
     if (shard.planner.jobCount > 0) this._scheduleDispatch(shard)
   }
 
   private _applyUpstreamChange ({ kind, entry }: UpstreamChange): void {
     for (const shard of [...this._shards.values(), ...this._drainingShards]) {
-      if (kind === 'dropped') shard.planner.dropUpstream(entry.id)
+      if (kind === 'dropped') shard.planner.removeUpstream(entry.id)
       else this._setUpstream(shard, entry)
     }
   }
@@ -361,6 +361,6 @@
       hall: entry.hall,
       work: { concurrentCalls, maxPiecesPerCall, callMs, pieceMs, resultRoomBytes, resultLifetimeMs }
     })
-    shard.planner.setTakesWork(entry.id, this._options.registry.mayUse(entry))
+    shard.planner.setAcceptsWork(entry.id, this._options.registry.mayUse(entry))
   }
 }
--- a/src/services/preparation/test/cutCalls.test.ts
+++ b/src/services/preparation/test/cutCalls.test.ts
@@ -18,7 +18,7 @@
 /** Starts all calls that can start, and ends each by a closed connection. */
 function disconnectAll (planner: PreparationPlanner, now: number): readonly PlannedCall[] {
   const calls = planner.startCalls(now)
-  for (const call of calls) planner.settleCall(call.id, DISCONNECTED, now + 10)
+  for (const call of calls) planner.completeCall(call.id, DISCONNECTED, now + 10)
   return calls
 }
 
@@ -26,7 +26,7 @@
   const planner = createPlanner({ upstreams: { a: 4 } })
   for (const id of ['x', 'y', 'z']) planner.addJob(createJob(id, [createStage('a', 1)]), 0)
   const [first] = disconnectAll(planner, 0)
-  assert.equal(planner.takeNews(), ['x', 'y', 'z'].map(jobId => ({ kind: 'lost', jobId, upstreamId: first?.upstreamId, sentBeforeMs: 10 })))
+  assert.equal(planner.dequeueUpdates(), ['x', 'y', 'z'].map(jobId => ({ kind: 'lost', jobId, upstreamId: first?.upstreamId, sentBeforeMs: 10 })))
   assert.equal(listJobs(planner.startCalls(AFTER_BACKOFF_MS)), ['x', 'y', 'z'])
 })
 
@@ -47,7 +47,7 @@
   assert.is(planner.startCalls(AFTER_BACKOFF_MS + 1).length, 0)
   const [call] = calls
   assert.ok(call)
-  planner.settleCall(call.id, createSuccess(call), AFTER_BACKOFF_MS + 100)
+  planner.completeCall(call.id, createSuccess(call), AFTER_BACKOFF_MS + 100)
   assert.is(planner.startCalls(AFTER_BACKOFF_MS + 101).length, 1)
 })
 
@@ -64,7 +64,7 @@
   assert.is(calls.filter(call => call.upstreamId === suspect.upstreamId).length, 1)
   planner.addJob(createJob('v', [createStage('a', 1)]), 2)
   assert.not(planner.startCalls(2).some(call => call.upstreamId === suspect.upstreamId))
-  planner.settleCall(suspect.id, createSuccess(suspect), 3)
+  planner.completeCall(suspect.id, createSuccess(suspect), 3)
   assert.ok(planner.startCalls(3).some(call => call.upstreamId === suspect.upstreamId))
 })
 
@@ -84,8 +84,8 @@
   for (const id of ['x', 'y']) planner.addJob(createJob(id, [createStage('a', 1)]), 0)
   const [call] = planner.startCalls(0)
   assert.ok(call)
-  planner.settleCall(call.id, { kind: 'lost', reason: 'status 500', isThere: true }, 10)
-  assert.equal(planner.takeNews(), [])
+  planner.completeCall(call.id, { kind: 'lost', reason: 'status 500', isUpstreamAlive: true }, 10)
+  assert.equal(planner.dequeueUpdates(), [])
   assert.equal(listJobs(planner.startCalls(AFTER_BACKOFF_MS)), ['x+y'])
 })
 
--- a/src/services/preparation/test/fakes.ts
+++ b/src/services/preparation/test/fakes.ts
@@ -61,13 +61,13 @@
     const next = running.shift()
     if (next === undefined) break
     now = next.endAt
-    planner.settleCall(next.call.id, createSuccess(next.call), now)
-    for (const free of planner.takeFrees()) planner.settleFree(free, true, now)
+    planner.completeCall(next.call.id, createSuccess(next.call), now)
+    for (const free of planner.dequeueFrees()) planner.completeFree(free, true, now)
   }
   return now
 }
 
 /** Takes all pending updates and returns those that end a job. */
 export function takeJobEnds (planner: PreparationPlanner): readonly JobEnd[] {
-  return planner.takeNews().flatMap(update => update.kind === 'prepared' || update.kind === 'refused' ? [update] : [])
+  return planner.dequeueUpdates().flatMap(update => update.kind === 'prepared' || update.kind === 'refused' ? [update] : [])
 }
--- a/src/services/preparation/test/jobTimes.test.ts
+++ b/src/services/preparation/test/jobTimes.test.ts
@@ -1,12 +1,12 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { JobClock } from '../common/jobTimes.ts'
+import { JobTimer } from '../common/jobTimes.ts'
 import { createSuccess, createJob, createPlanner, createStage, takeJobEnds } from './fakes.ts'
 
 const test = suite('jobTimes')
 
 test('the time of a job is divided into queueing, computation and gaps between stages', () => {
-  const clock = new JobClock(100)
+  const clock = new JobTimer(100)
   clock.recordStart(130)
   clock.recordStart(150)
   clock.recordEnd(200)
@@ -17,7 +17,7 @@
 })
 
 test('a job that never started has only queueing time', () => {
-  assert.equal(new JobClock(100).measure(180), { queuedMs: 80, madeMs: 0, betweenMs: 0 })
+  assert.equal(new JobTimer(100).measure(180), { queuedMs: 80, madeMs: 0, betweenMs: 0 })
 })
 
 test('the owner of a job receives the breakdown of its time', () => {
@@ -25,10 +25,10 @@
   planner.addJob(createJob('x', [createStage('a', 1), createStage('b', 1, [0])]), 0)
   const [first] = planner.startCalls(40)
   assert.ok(first)
-  planner.settleCall(first.id, createSuccess(first), 150)
+  planner.completeCall(first.id, createSuccess(first), 150)
   const [second] = planner.startCalls(170)
   assert.ok(second)
-  planner.settleCall(second.id, createSuccess(second), 280)
+  planner.completeCall(second.id, createSuccess(second), 280)
   const [end] = takeJobEnds(planner)
   assert.equal(end?.kind === 'prepared' && end.times, { queuedMs: 40, madeMs: 220, betweenMs: 20 })
 })
--- a/src/services/preparation/test/lateWork.test.ts
+++ b/src/services/preparation/test/lateWork.test.ts
@@ -41,8 +41,8 @@
     if (planner.addJob(job, events.now) !== undefined) counts.refused++
   }
   const step = () => {
-    for (const call of planner.startCalls(events.now)) events.schedule(events.now + call.expectedMs, () => planner.settleCall(call.id, createSuccess(call), events.now))
-    for (const update of planner.takeNews()) {
+    for (const call of planner.startCalls(events.now)) events.schedule(events.now + call.expectedMs, () => planner.completeCall(call.id, createSuccess(call), events.now))
+    for (const update of planner.dequeueUpdates()) {
       if (update.kind === 'refused') counts.refusedLater++
       if (update.kind !== 'prepared') continue
       const tookMs = events.now - (sentAt.get(update.jobId) ?? 0)
@@ -50,7 +50,7 @@
       else if (tookMs <= DEADLINE_MS) counts.late++
       planner.releaseJob(update.jobId)
     }
-    for (const free of planner.takeFrees()) planner.settleFree(free, true, events.now)
+    for (const free of planner.dequeueFrees()) planner.completeFree(free, true, events.now)
   }
   for (let at = 0; at < LOAD_MS; at += FULL_CALL_MS / 4 / factor) events.schedule(at, submit)
   for (let at = 0; at < END_MS; at += STEP_MS) events.schedule(at, step)
--- a/src/services/preparation/test/limitedTargets.test.ts
+++ b/src/services/preparation/test/limitedTargets.test.ts
@@ -30,8 +30,8 @@
       const refusal = planner.addJob(createJob(`j${submitted}`, [createStage('a', 1)]), now)
       if (refusal?.reason === 'overloaded') seen.refusals.push(refusal.retryAfterMs)
     }
-    for (const call of planner.startCalls(now)) planner.settleCall(call.id, { kind: 'answered', pieces: call.pieces.map(({ jobId }) => ({ kind: 'made', handle: `h/${jobId}` })) }, now)
-    for (const update of planner.takeNews()) {
+    for (const call of planner.startCalls(now)) planner.completeCall(call.id, { kind: 'answered', pieces: call.pieces.map(({ jobId }) => ({ kind: 'made', handle: `h/${jobId}` })) }, now)
+    for (const update of planner.dequeueUpdates()) {
       if (update.kind === 'prepared') {
         seen.targets.push(update.targetId)
         planner.reportTarget(update.jobId, { outcome: 'produced', producedMs: 30 }, now)
@@ -40,7 +40,7 @@
         seen.refusals.push(update.refusal.retryAfterMs)
       }
     }
-    planner.takeFrees()
+    planner.dequeueFrees()
   }
   return seen
 }
@@ -74,8 +74,8 @@
 test('no target is chosen that the job excludes', () => {
   const planner = createPlanner([undefined, undefined])
   for (let index = 0; index < 6; index++) planner.addJob(createJob(`j${index}`, [createStage('a', 1)], { excludedTargets: ['t0'] }), 0)
-  for (const call of planner.startCalls(0)) planner.settleCall(call.id, { kind: 'answered', pieces: call.pieces.map(({ jobId }) => ({ kind: 'made', handle: `h/${jobId}` })) }, 0)
-  const targets = planner.takeNews().flatMap(update => update.kind === 'prepared' ? [update.targetId] : [])
+  for (const call of planner.startCalls(0)) planner.completeCall(call.id, { kind: 'answered', pieces: call.pieces.map(({ jobId }) => ({ kind: 'made', handle: `h/${jobId}` })) }, 0)
+  const targets = planner.dequeueUpdates().flatMap(update => update.kind === 'prepared' ? [update.targetId] : [])
   assert.equal(targets, Array.from({ length: 6 }, () => 't1'))
 })
 
--- a/src/services/preparation/test/planMoves.test.ts
+++ b/src/services/preparation/test/planMoves.test.ts
@@ -55,16 +55,16 @@
     for (const { pieces } of started) for (const { jobId, inputs } of pieces) this.foreignInputs.push(...inputs.filter(handle => !handle.startsWith(`${jobId}/`)))
     const [ended, ...rest] = [...this._running, ...started]
     this._running = rest
-    if (ended !== undefined) this.planner.settleCall(ended.id, createOutcome(ended, ++this._serial), this._now)
+    if (ended !== undefined) this.planner.completeCall(ended.id, createOutcome(ended, ++this._serial), this._now)
     this._collectUpdates()
-    for (const free of this.planner.takeFrees()) this.planner.settleFree(free, true, this._now)
+    for (const free of this.planner.dequeueFrees()) this.planner.completeFree(free, true, this._now)
   }
 
   /** A planned stop: calls in flight complete first. */
   stopPlanner (): void {
-    this.planner.end()
+    this.planner.beginDraining()
     while (this._running.length > 0) this.step()
-    this._moveJobs(new Set(this.planner.takeIdleJobs()), 1)
+    this._moveJobs(new Set(this.planner.removeIdleJobs()), 1)
   }
 
   /** A crash: calls in flight are lost, and so is a part of the updates that the owner should have received. */
@@ -83,7 +83,7 @@
   }
 
   private _collectUpdates (): void {
-    for (const update of this.planner.takeNews()) {
+    for (const update of this.planner.dequeueUpdates()) {
       if (update.kind === 'made') this._carried.set(update.jobId, [...this._carried.get(update.jobId) ?? [], ...update.pieces.map(piece => ({ ...piece, ageMs: STEP_MS }))])
       if (update.kind !== 'prepared') continue
       this.prepared.set(update.jobId, update.results.map(result => result.handle))
@@ -110,7 +110,7 @@
       assert.is(handles.length, second)
       assert.ok(handles.every(handle => handle.startsWith(`j${index}/1.`)))
     })
-    for (const free of owner.planner.takeFrees()) owner.planner.settleFree(free, true, owner.now)
+    for (const free of owner.planner.dequeueFrees()) owner.planner.completeFree(free, true, owner.now)
     const { upstreams } = owner.planner.describe(owner.now) as { readonly upstreams: readonly { readonly freeBytes: number }[] }
     assert.ok(upstreams.every(({ freeBytes }) => freeBytes === CAPACITY_BYTES))
   }), { seed: SEED, numRuns: 300 })
--- a/src/services/preparation/test/planSearch.test.ts
+++ b/src/services/preparation/test/planSearch.test.ts
@@ -13,7 +13,7 @@
   const search = new PlanSearch()
   for (const [hall, endInMs] of [['x', 900], ['y', 700], ['z', 800]] as const) {
     assert.equal(search.choose(PLANS, false), { hall, isOffer: true })
-    search.noteDeclined(endInMs)
+    search.recordDecline(endInMs)
   }
   assert.equal(search.choose(PLANS, false), { hall: 'y', isOffer: false })
 })
@@ -23,7 +23,7 @@
   const halls = ['x', 'y', 'z', 'v', 'w']
   const asked = [900, 700, 800].map(endInMs => {
     const { hall } = search.choose(halls, false)
-    search.noteDeclined(endInMs)
+    search.recordDecline(endInMs)
     return hall
   })
   assert.equal(asked, ['x', 'y', 'z'])
@@ -40,21 +40,21 @@
 test('a job that its plan refused is offered to the other plans once more, and the next refusal is final', () => {
   const search = new PlanSearch()
   search.choose(PLANS, false)
-  search.noteDeclined(900)
+  search.recordDecline(900)
   search.choose(PLANS, false)
-  assert.ok(search.noteRefused(PLANS))
+  assert.ok(search.recordRefusal(PLANS))
   assert.equal(search.choose(PLANS, false), { hall: 'x', isOffer: true })
-  search.noteDeclined(500)
+  search.recordDecline(500)
   assert.equal(search.choose(PLANS, false), { hall: 'z', isOffer: true })
-  search.noteDeclined(700)
+  search.recordDecline(700)
   assert.equal(search.choose(PLANS, false), { hall: 'x', isOffer: false })
-  assert.not(search.noteRefused(PLANS))
+  assert.not(search.recordRefusal(PLANS))
 })
 
 test('with a single plan a refusal is final at once', () => {
   const search = new PlanSearch()
   search.choose([''], false)
-  assert.not(search.noteRefused(['']))
+  assert.not(search.recordRefusal(['']))
 })
 
 test.run()
--- a/src/services/preparation/test/preparationCoordinator.test.ts
+++ b/src/services/preparation/test/preparationCoordinator.test.ts
@@ -8,7 +8,7 @@
 import { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import { PieceProtocol } from '../common/pieceProtocol.ts'
-import type { JobNews, PieceCallOutcome, PlannedPiece } from '../common/plannedCall.ts'
+import type { JobUpdate, PieceCallOutcome, PlannedPiece } from '../common/plannedCall.ts'
 import { PreparationCoordinator } from '../node/preparationCoordinator.ts'
 import { createJob, createStage } from './fakes.ts'
 
@@ -33,11 +33,11 @@
   }
 }
 
-async function runWith (run: (parts: { readonly coordinator: PreparationCoordinator, readonly pieces: FakePieces, readonly updates: JobNews[], readonly advance: (ms: number) => Promise<void> }) => Promise<void>): Promise<void> {
+async function runWith (run: (parts: { readonly coordinator: PreparationCoordinator, readonly pieces: FakePieces, readonly updates: JobUpdate[], readonly advance: (ms: number) => Promise<void> }) => Promise<void>): Promise<void> {
   const clock = new VirtualClock()
   const registry = new UpstreamRegistry()
   const pieces = new FakePieces()
-  const updates: JobNews[] = []
+  const updates: JobUpdate[] = []
   const work = { concurrentCalls: 1, maxPiecesPerCall: 4, callMs: 100, pieceMs: 10, resultRoomBytes: 1000, resultLifetimeMs: 4000 }
   const table = new RelayTable(create(RelaySchema, { roles: ['a', 'b'].map(name => ({ name, pieceWork: work })) }))
   const coordinator = new PreparationCoordinator({ clock, log: new LogService({ program: 'test', silent: true }), protocol: pieces, registry, getTable: () => table })
--- a/src/services/preparation/test/preparationPlanner.test.ts
+++ b/src/services/preparation/test/preparationPlanner.test.ts
@@ -27,7 +27,7 @@
   assert.ok(first)
   assert.is(first.pieces[0]?.key, 'key of x')
   assert.equal(planner.startCalls(10), [])
-  planner.settleCall(first.id, createSuccess(first), 120)
+  planner.completeCall(first.id, createSuccess(first), 120)
   const [second] = planner.startCalls(120)
   assert.equal(second?.pieces[0]?.inputs, ['a-0/1.0.0', 'a-0/1.0.1'])
   assert.is(second?.pieces[0]?.key, undefined)
@@ -74,21 +74,21 @@
   planner.addJob(createJob('x', [createStage('a', 1), createStage('b', 1, [0])]), 0)
   const [first] = planner.startCalls(0)
   assert.ok(first)
-  planner.settleCall(first.id, createSuccess(first), 110)
+  planner.completeCall(first.id, createSuccess(first), 110)
   const [second] = planner.startCalls(110)
   assert.ok(second)
-  assert.equal(planner.takeFrees(), [])
-  planner.settleCall(second.id, createSuccess(second), 220)
-  assert.equal(planner.takeFrees().map(free => free.upstreamId), ['a-0'])
+  assert.equal(planner.dequeueFrees(), [])
+  planner.completeCall(second.id, createSuccess(second), 220)
+  assert.equal(planner.dequeueFrees().map(free => free.upstreamId), ['a-0'])
   planner.releaseJob('x')
-  assert.equal(planner.takeFrees().map(free => free.upstreamId), ['b-0'])
+  assert.equal(planner.dequeueFrees().map(free => free.upstreamId), ['b-0'])
 
   planner.addJob(createJob('y', [createStage('a', 1)]), 300)
   const [third] = planner.startCalls(300)
   assert.ok(third)
   planner.releaseJob('y')
-  planner.settleCall(third.id, createSuccess(third), 410)
-  assert.equal(planner.takeFrees().map(free => free.upstreamId), ['a-0'])
+  planner.completeCall(third.id, createSuccess(third), 410)
+  assert.equal(planner.dequeueFrees().map(free => free.upstreamId), ['a-0'])
   assert.equal(takeJobEnds(planner).map(end => end.jobId), ['x'])
 })
 
@@ -99,12 +99,12 @@
   const [first] = planner.startCalls(0)
   assert.ok(first)
   assert.equal(listPieces([first]), ['x/0.0', 'x/0.1'])
-  planner.settleCall(first.id, createSuccess(first), 120)
+  planner.completeCall(first.id, createSuccess(first), 120)
   planner.releaseJob('x')
   assert.equal(planner.startCalls(120), [])
-  const [free] = planner.takeFrees()
+  const [free] = planner.dequeueFrees()
   assert.ok(free)
-  planner.settleFree(free, false, 130)
+  planner.completeFree(free, false, 130)
   assert.equal(planner.startCalls(130), [])
   assert.equal(listPieces(planner.startCalls(130 + 4000)), ['y/0.0'])
 })
@@ -134,7 +134,7 @@
     planner.addJob(createJob('x', [createStage('a', 1)]), 0)
     const [first] = planner.startCalls(0)
     assert.ok(first)
-    planner.settleCall(first.id, outcome, 10)
+    planner.completeCall(first.id, outcome, 10)
     const [second] = planner.startCalls(10)
     assert.is.not(second?.upstreamId, first.upstreamId)
   }
@@ -146,7 +146,7 @@
   runToCompletion(planner, 0)
   const [end] = takeJobEnds(planner)
   assert.ok(end?.kind === 'prepared')
-  planner.dropUpstream(end.results[0]?.upstreamId ?? '')
+  planner.removeUpstream(end.results[0]?.upstreamId ?? '')
   assert.ok(planner.reopenJob('x', 300))
   runToCompletion(planner, 300)
   const [again] = takeJobEnds(planner)
@@ -159,10 +159,10 @@
   planner.addJob(createJob('x', [createStage('a', 1), createStage('b', 1, [0])]), 0)
   const [first] = planner.startCalls(0)
   assert.ok(first)
-  planner.settleCall(first.id, createSuccess(first), 110)
+  planner.completeCall(first.id, createSuccess(first), 110)
   const [second] = planner.startCalls(110)
   assert.ok(second)
-  planner.settleCall(second.id, { kind: 'answered', pieces: [{ kind: 'failed', reason: 'inputGone' }] }, 220)
+  planner.completeCall(second.id, { kind: 'answered', pieces: [{ kind: 'failed', reason: 'inputGone' }] }, 220)
   const order: string[] = []
   runToCompletion(planner, 220, call => order.push(call.upstreamId))
   assert.equal(order, ['a-0', 'b-0'])
@@ -206,7 +206,7 @@
   planner.addJob(createJob('y', [createStage('a', 1)], { rank: 1, goalInMs: 300, deadlineInMs: 900 }), 0)
   for (let index = 0; index < 12; index++) planner.addJob(createJob(`j${index}`, [createStage('a', 1)]), 0)
   planner.startCalls(200)
-  const refused = planner.takeNews().flatMap(update => update.kind === 'refused' ? [update] : [])
+  const refused = planner.dequeueUpdates().flatMap(update => update.kind === 'refused' ? [update] : [])
   assert.equal(refused.map(update => update.jobId), ['y'])
   assert.ok((refused[0]?.refusal.retryAfterMs ?? 0) > 500)
 })
@@ -216,8 +216,8 @@
   planner.addJob(createJob('x', [createStage('a', 2)]), 0)
   const [first, second] = planner.startCalls(0)
   assert.ok(first && second)
-  planner.settleCall(second.id, createSuccess(second), 110)
-  planner.settleCall(first.id, createSuccess(first), 880)
+  planner.completeCall(second.id, createSuccess(second), 110)
+  planner.completeCall(first.id, createSuccess(first), 880)
   planner.addJob(createJob('y', [createStage('a', 1)]), 880)
   assert.equal(planner.startCalls(880).map(call => call.upstreamId), [second.upstreamId])
   planner.addJob(createJob('z', [createStage('a', 9)]), 880)
@@ -231,8 +231,8 @@
   first.addJob(job, 0)
   const [call] = first.startCalls(0)
   assert.ok(call)
-  first.settleCall(call.id, createSuccess(call), 120)
-  const carried = first.takeNews().flatMap(update => update.kind === 'made' ? update.pieces : []).map(piece => ({ ...piece, ageMs: 30 }))
+  first.completeCall(call.id, createSuccess(call), 120)
+  const carried = first.dequeueUpdates().flatMap(update => update.kind === 'made' ? update.pieces : []).map(piece => ({ ...piece, ageMs: 30 }))
   return { job, carried }
 }
 
@@ -245,8 +245,8 @@
   const calls = next.startCalls(150)
   assert.equal(calls.map(call => call.upstreamId), ['b-0'])
   assert.equal(calls[0]?.pieces[0]?.inputs, ['a-0/1.0.0', 'a-0/1.0.1'])
-  if (calls[0] !== undefined) next.settleCall(calls[0].id, createSuccess(calls[0]), 260)
-  assert.equal(next.takeFrees().flatMap(free => free.handles), ['a-0/1.0.0', 'a-0/1.0.1'])
+  if (calls[0] !== undefined) next.completeCall(calls[0].id, createSuccess(calls[0]), 260)
+  assert.equal(next.dequeueFrees().flatMap(free => free.handles), ['a-0/1.0.0', 'a-0/1.0.1'])
 })
 
 test('carried results that have expired, or whose upstream is gone, are computed again', () => {
@@ -255,7 +255,7 @@
   expired.addJob(job, 5000, { carried: carried.map(piece => ({ ...piece, ageMs: 4000 })) })
   assert.equal(expired.startCalls(5000).map(call => call.upstreamId), ['a-0'])
   const gone = createPlanner({ upstreams: { a: 1, b: 1 } })
-  gone.dropUpstream('a-0')
+  gone.removeUpstream('a-0')
   gone.setUpstream({ id: 'a-1', role: 'a', hall: 'h0', work: WORK })
   gone.addJob(job, 150, { carried })
   assert.equal(gone.startCalls(150).map(call => call.upstreamId), ['a-1'])
@@ -265,7 +265,7 @@
   const { job, carried } = createCarriedJob(10)
   const next = createPlanner({ upstreams: { a: 1 } })
   assert.is(next.addJob(job, 150, { carried })?.reason, 'noUpstream')
-  assert.equal(next.takeFrees().flatMap(free => free.handles), ['a-0/1.0.0', 'a-0/1.0.1'])
+  assert.equal(next.dequeueFrees().flatMap(free => free.handles), ['a-0/1.0.0', 'a-0/1.0.1'])
 })
 
 test('a draining plan keeps a job until its calls have completed, and starts no more calls', () => {
@@ -273,12 +273,12 @@
   planner.addJob(createJob('x', [createStage('a', 1), createStage('b', 1, [0])]), 0)
   const [call] = planner.startCalls(0)
   assert.ok(call)
-  planner.end()
-  assert.equal(planner.takeIdleJobs(), [])
-  planner.settleCall(call.id, createSuccess(call), 110)
+  planner.beginDraining()
+  assert.equal(planner.removeIdleJobs(), [])
+  planner.completeCall(call.id, createSuccess(call), 110)
   assert.equal(planner.startCalls(110), [])
-  assert.equal(planner.takeIdleJobs(), ['x'])
-  assert.equal(planner.takeFrees(), [])
+  assert.equal(planner.removeIdleJobs(), ['x'])
+  assert.equal(planner.dequeueFrees(), [])
 })
 
 test('with any order of outcomes every job ends and all result capacity is freed', () => {
@@ -292,10 +292,10 @@
     let running: readonly PlannedCall[] = []
     const settle = (call: PlannedCall) => {
       const kind = outcomes[outcomeIndex++ % outcomes.length] ?? 'made'
-      if (kind === 'made') planner.settleCall(call.id, createSuccess(call), now)
-      else if (kind === 'lost') planner.settleCall(call.id, { kind: 'lost', reason: 'test' }, now)
-      else if (kind === 'full') planner.settleCall(call.id, { kind: 'notRun', reason: 'full' }, now)
-      else planner.settleCall(call.id, { kind: 'answered', pieces: call.pieces.map(() => ({ kind: 'failed', reason: kind })) }, now)
+      if (kind === 'made') planner.completeCall(call.id, createSuccess(call), now)
+      else if (kind === 'lost') planner.completeCall(call.id, { kind: 'lost', reason: 'test' }, now)
+      else if (kind === 'full') planner.completeCall(call.id, { kind: 'notRun', reason: 'full' }, now)
+      else planner.completeCall(call.id, { kind: 'answered', pieces: call.pieces.map(() => ({ kind: 'failed', reason: kind })) }, now)
     }
     const step = () => {
       running = [...running, ...planner.startCalls(now)]
@@ -306,7 +306,7 @@
         ended.add(end.jobId)
         planner.releaseJob(end.jobId)
       }
-      for (const free of planner.takeFrees()) planner.settleFree(free, true, now)
+      for (const free of planner.dequeueFrees()) planner.completeFree(free, true, now)
     }
     const accepted: string[] = []
     jobs.forEach(({ first, second, gapMs, isReleasedEarly }, index) => {
@@ -323,7 +323,7 @@
       now += 20
       step()
     }
-    for (const free of planner.takeFrees()) planner.settleFree(free, true, now)
+    for (const free of planner.dequeueFrees()) planner.completeFree(free, true, now)
     assert.is(planner.jobCount, 0)
     assert.equal(accepted.filter(id => !ended.has(id)), [])
     const { upstreams } = planner.describe(now + 10_000) as { readonly upstreams: readonly { readonly freeBytes: number }[] }
--- a/src/services/preparation/test/targetPlanner.test.ts
+++ b/src/services/preparation/test/targetPlanner.test.ts
@@ -3,7 +3,7 @@
 import { ReleaseDelay } from '../common/releaseDelay.ts'
 import { TargetPlanner } from '../common/targetPlanner.ts'
 import type { RequestShape } from '../common/preparationJob.ts'
-import type { TargetQuestion } from '../common/targetPlanner.ts'
+import type { TargetQuery } from '../common/targetPlanner.ts'
 
 const test = suite('targetPlanner')
 
@@ -16,17 +16,17 @@
 
 /** Assigns a request to a target that has to process `readTokens` of its input tokens, by default all. */
 function assign (planner: TargetPlanner, jobId: string, request: RequestShape, targetId: string, now: number, readTokens = request.inputTokens): void {
-  planner.assign({ jobId, shape: request, targetId, readTokens }, now)
+  planner.assign({ jobId, shape: request, targetId, prefillTokens: readTokens }, now)
 }
 
-function createQuestion (options: Partial<TargetQuestion> = {}): TargetQuestion {
+function createQuestion (options: Partial<TargetQuery> = {}): TargetQuery {
   return { shape, candidates, bytesByHall: new Map(), waitByHall: new Map(), ...options }
 }
 
 test('a prompt is sent to the upstream that has processed its shared prefix', () => {
   const planner = new TargetPlanner()
   assign(planner, 'x', shape, 'b', 0)
-  planner.settle('x', { outcome: 'produced', producedMs: 275 }, 300)
+  planner.recordReport('x', { outcome: 'produced', producedMs: 275 }, 300)
   assert.is(planner.choose(createQuestion(), 400)?.id, 'b')
   assert.ok((planner.choose(createQuestion(), 400)?.costMs ?? 0) < 100)
 })
@@ -54,12 +54,12 @@
 test('an upstream that leaves several requests unanswered is excluded until it answers one', () => {
   const planner = new TargetPlanner()
   assign(planner, 'x', shape, 'b', 0)
-  planner.settle('x', { outcome: 'produced', producedMs: 275 }, 275)
+  planner.recordReport('x', { outcome: 'produced', producedMs: 275 }, 275)
   assign(planner, 'silent1', shape, 'b', 300, 3000)
   assign(planner, 'silent2', shape, 'b', 320, 3000)
   assert.is(planner.choose(createQuestion(), 600)?.id, 'b')
   assert.is.not(planner.choose(createQuestion(), 2000)?.id, 'b')
-  planner.settle('silent1', { outcome: 'produced', producedMs: 1750 }, 2050)
+  planner.recordReport('silent1', { outcome: 'produced', producedMs: 1750 }, 2050)
   assert.is(planner.choose(createQuestion(), 2060)?.id, 'b')
 })
 
@@ -71,7 +71,7 @@
   assign(busy, 'x', shape, 'b', 0)
   assign(busy, 'y', shape, 'b', 0, 3000)
   assign(busy, 'z', shape, 'b', 1800, 3000)
-  busy.settle('z', { outcome: 'produced', producedMs: 100 }, 1900)
+  busy.recordReport('z', { outcome: 'produced', producedMs: 100 }, 1900)
   assert.is(busy.choose(createQuestion(), 2000)?.id, 'b')
 })
 
@@ -80,9 +80,9 @@
   const unshared = { ...shape, shared: [] }
   for (let index = 0; index < 10; index++) {
     assign(planner, `a${index}`, unshared, 'a', 0)
-    planner.settle(`a${index}`, { outcome: 'produced', producedMs: 2500 }, 0)
+    planner.recordReport(`a${index}`, { outcome: 'produced', producedMs: 2500 }, 0)
     assign(planner, `b${index}`, unshared, 'b', 0)
-    planner.settle(`b${index}`, { outcome: 'failed', producedMs: 0 }, 0)
+    planner.recordReport(`b${index}`, { outcome: 'failed', producedMs: 0 }, 0)
   }
   assert.is(planner.choose(createQuestion({ shape: unshared }), 10)?.id, 'c')
 })
@@ -91,30 +91,30 @@
   const planner = new TargetPlanner()
   assign(planner, 'x', shape, 'a', 0)
   assign(planner, 'x', shape, 'b', 0)
-  planner.settle('x', { outcome: 'unused', producedMs: 0 }, 0)
+  planner.recordReport('x', { outcome: 'unused', producedMs: 0 }, 0)
   assert.ok(planner.describe().every(target => (target as { readonly pendingTokens: number }).pendingTokens === 0))
 })
 
 test('the release delay of inputs increases after one was missing, and then gradually decreases again', () => {
   const delay = new ReleaseDelay()
-  const first = delay.compute(0)
-  assert.ok(delay.compute(10e6) > first)
-  delay.noteMissing()
-  assert.ok(delay.compute(0) >= 2 * first)
-  for (let index = 0; index < 1000; index++) delay.noteTaken()
-  assert.is(delay.compute(0), first)
+  const first = delay.computeDelayMs(0)
+  assert.ok(delay.computeDelayMs(10e6) > first)
+  delay.recordMissing()
+  assert.ok(delay.computeDelayMs(0) >= 2 * first)
+  for (let index = 0; index < 1000; index++) delay.recordSuccess()
+  assert.is(delay.computeDelayMs(0), first)
 })
 
 test('a target that lacks a shared prefix fetches it from the upstream that has it cached', () => {
   const planner = new TargetPlanner()
   const linked = candidates.map(candidate => ({ ...candidate, msPerMovedToken: 0.005 }))
   assign(planner, 'x', shape, 'b', 0)
-  planner.settle('x', { outcome: 'produced', producedMs: 275 }, 300)
-  assert.equal([planner.choose(createQuestion({ candidates: linked }), 400)].map(choice => [choice?.id, choice?.prefixSourceId, choice?.readTokens]), [['b', '', 3000]])
+  planner.recordReport('x', { outcome: 'produced', producedMs: 275 }, 300)
+  assert.equal([planner.choose(createQuestion({ candidates: linked }), 400)].map(choice => [choice?.id, choice?.prefixSourceId, choice?.prefillTokens]), [['b', '', 3000]])
   for (let index = 0; index < 4; index++) assign(planner, `y${index}`, createShape(`q${index}`), 'b', 400)
   const choice = planner.choose(createQuestion({ candidates: linked }), 500)
   assert.is.not(choice?.id, 'b')
-  assert.equal([choice?.prefixSourceId, choice?.readTokens], ['b', 3000])
+  assert.equal([choice?.prefixSourceId, choice?.prefillTokens], ['b', 3000])
   assert.is(planner.choose(createQuestion(), 500)?.prefixSourceId, '')
 })
 
--- a/src/services/quota/node/limitedPieces.ts
+++ b/src/services/quota/node/limitedPieces.ts
@@ -2,7 +2,7 @@
  * Decorates calls to upstreams that compute pieces: each call first acquires the upstream's quota.
  */
 import { PieceProtocol } from '../../preparation/common/pieceProtocol.ts'
-import type { FreeTerms, PieceCallTerms } from '../../preparation/common/pieceProtocol.ts'
+import type { FreeOptions, PieceCallOptions } from '../../preparation/common/pieceProtocol.ts'
 import type { PieceCallOutcome, PlannedPiece } from '../../preparation/common/plannedCall.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { IQuotaService } from '../common/quota.ts'
@@ -10,16 +10,16 @@
 export class LimitedPieces extends PieceProtocol {
   constructor (private readonly _inner: PieceProtocol, private readonly _quota: IQuotaService) {
     super()
-    _inner.onDidState(stated => this._onDidState.fire(stated))
+    _inner.onDidReceiveStatement(stated => this._onDidReceiveStatement.fire(stated))
   }
 
-  async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallTerms): Promise<PieceCallOutcome> {
+  async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallOptions): Promise<PieceCallOutcome> {
     if (await this._quota.acquire(upstream, pieces[0]?.jobId ?? '')) return await this._inner.runPieces(upstream, pieces, terms)
     return { kind: 'notRun', reason: 'limited', retryInMs: this._quota.getWaitMs(upstream) }
   }
 
   /** A call that is denied is not repeated: upstreams remove results by themselves when their lifetime ends. */
-  async freeResults (upstream: UpstreamEntry, handles: readonly string[], terms?: FreeTerms): Promise<boolean> {
+  async freeResults (upstream: UpstreamEntry, handles: readonly string[], terms?: FreeOptions): Promise<boolean> {
     return await this._quota.acquire(upstream, '') && await this._inner.freeResults(upstream, handles, terms)
   }
 }
--- a/src/services/relay/common/relayRequest.ts
+++ b/src/services/relay/common/relayRequest.ts
@@ -1,7 +1,7 @@
 /**
  * A caller's HTTP request in a form that does not depend on the header names of the callers' protocol.
  */
-import type { SharedPrefix } from '../../preparation/common/prefixBook.ts'
+import type { SharedPrefix } from '../../preparation/common/prefixIndex.ts'
 
 /** A header that is forwarded unchanged. */
 export interface HeaderField {
--- a/src/services/relay/node/requestInputs.ts
+++ b/src/services/relay/node/requestInputs.ts
@@ -86,15 +86,15 @@
   scheduleRelease (): IDisposable | undefined {
     const inputs = this._inputs
     const { clock, releaseDelay } = this._options.context
-    return inputs === undefined ? undefined : clock.schedule(releaseDelay.compute(inputs.bytes), () => inputs.release())
+    return inputs === undefined ? undefined : clock.schedule(releaseDelay.computeDelayMs(inputs.bytes), () => inputs.release())
   }
 
   /** Adjusts the release delay by whether the upstream still found the results. */
   recordOutcome (outcome: AttemptOutcome): void {
     const { releaseDelay } = this._options.context
     if (this._inputs === undefined) return
-    if (outcome.kind === 'notRun' && outcome.reason === 'inputMissing') releaseDelay.noteMissing()
-    else if (outcome.kind === 'delivered') releaseDelay.noteTaken()
+    if (outcome.kind === 'notRun' && outcome.reason === 'inputMissing') releaseDelay.recordMissing()
+    else if (outcome.kind === 'delivered') releaseDelay.recordSuccess()
   }
 
   /** Reports the state of the request to the planner, if the upstream is the one that it chose. */
--- a/src/services/relay/test/coldUpstreams.test.ts
+++ b/src/services/relay/test/coldUpstreams.test.ts
@@ -105,7 +105,7 @@
   const shape = { role: 'model', shared: [], inputTokens: 1000 }
   const question = { shape, candidates: [{ id: 'u', hall: 'x', msPerMovedToken: Infinity, limit: { perS: 0.5, burst: 1 } }], bytesByHall: new Map(), waitByHall: new Map() }
   assert.is(planner.choose(question, 0)?.id, 'u')
-  planner.assign({ jobId: 'j', shape, targetId: 'u', readTokens: 1000 }, 0)
+  planner.assign({ jobId: 'j', shape, targetId: 'u', prefillTokens: 1000 }, 0)
   assert.is(planner.choose(question, 1900), undefined)
   assert.is(planner.choose(question, 2000)?.id, 'u')
 })
