--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -197,8 +197,8 @@
       links,
       registry: this._registry,
       coordinator: this._coordinator,
-      hasMembers: () => this._member.hasJoined,
-      onDidKnowMembers: this._member.onDidJoin,
+      isMembershipKnown: () => this._member.hasJoined,
+      onDidReceiveMembers: this._member.onDidJoin,
       address: coordinatorAddress,
       listCoordinators: () => coordinators.list(),
       listPieceUpstreams: () => (this._table?.listPieceRoles() ?? []).flatMap(role => this._registry.listRole(role.name))
@@ -309,7 +309,7 @@
     this._report.refresh()
     this._relay.drain()
     await this._member.leave()
-    if (this._preparation.hasOtherCoordinator()) this._coordinator.moveJobs()
+    if (this._preparation.hasOtherCoordinator()) this._coordinator.drain()
     await ending.run()
     log.info('stopped', { open: this._relay.openCount, took_ms: Math.round(ending.tookMs) })
     this._onDidStop.fire()
@@ -379,7 +379,7 @@
     this._isMoving = true
     this._options.clock.schedule(MOVE_DELAY_MS, () => {
       this._isMoving = false
-      if (!this._isDisposed) this._preparation.moveJobs()
+      if (!this._isDisposed) this._preparation.moveMisplacedJobs()
     })
   }
 }
--- a/src/services/preparation/node/coordinatorLink.ts
+++ b/src/services/preparation/node/coordinatorLink.ts
@@ -38,7 +38,7 @@
   private readonly _onDidReceiveQuotaAnswer = this._register(new Emitter<QuotaAnswer>())
   private readonly _onDidClose = this._register(new Emitter<void>())
   readonly onDidReceiveUpdate = this._onDidReceiveUpdate.event
-  readonly onDidAnswerQuota = this._onDidReceiveQuotaAnswer.event
+  readonly onDidReceiveQuotaAnswer = this._onDidReceiveQuotaAnswer.event
   readonly onDidClose = this._onDidClose.event
   private readonly _connection: FrameConnection
   private _lastReceivedAt: number
--- a/src/services/preparation/node/preparationClient.ts
+++ b/src/services/preparation/node/preparationClient.ts
@@ -23,7 +23,7 @@
 import type { CoordinatorLink, CoordinatorLinkOptions } from './coordinatorLink.ts'
 import { CoordinatorLinks } from './coordinatorLinks.ts'
 import type { LostCoordinator } from './coordinatorLinks.ts'
-import { OwnedJob } from './openJob.ts'
+import { OwnedJob } from './ownedJob.ts'
 import type { PreparationCoordinator } from './preparationCoordinator.ts'
 
 export interface PreparationClientOptions {
@@ -39,8 +39,8 @@
    * Whether the live nodes are known. Until then jobs wait: otherwise each node would coordinate its own jobs and fill
    * result capacity that the plans of other nodes count as free.
    */
-  readonly hasMembers: () => boolean
-  readonly onDidKnowMembers: Event<void>
+  readonly isMembershipKnown: () => boolean
+  readonly onDidReceiveMembers: Event<void>
   /** The coordinators of all live nodes, including this one. */
   readonly listCoordinators: () => readonly CoordinatorCandidate[]
   /** All upstreams that compute pieces. */
@@ -75,7 +75,7 @@
   constructor (options: PreparationClientOptions) {
     super()
     this._options = options
-    this._register(options.onDidKnowMembers(() => { for (const ownedJob of [...this._jobs.values()]) void this._submit(ownedJob) }))
+    this._register(options.onDidReceiveMembers(() => { for (const ownedJob of [...this._jobs.values()]) void this._submit(ownedJob) }))
     const { clock, log, localAddress, openLink } = options
     this._links = options.links ?? this._register(new CoordinatorLinks({ clock, log, localAddress, openLink }))
     this._register(this._links.onDidOpen(link => this._subscribe(link)))
@@ -90,8 +90,8 @@
   }
 
   /** Moves jobs that this node plans although another node, which was unknown when they arrived, is responsible. */
-  moveJobs (): void {
-    if (this._options.hasMembers()) this._options.coordinator.movePlans(hall => this.findCoordinator(hall) !== this._options.address)
+  moveMisplacedJobs (): void {
+    if (this._options.isMembershipKnown()) this._options.coordinator.movePlans(hall => this.findCoordinator(hall) !== this._options.address)
   }
 
   /** Whether another node could take over the plans of this node. */
@@ -101,7 +101,7 @@
 
   prepare (job: PreparationJob, signal: AbortSignal, onDidLose?: LostPiecesListener): Promise<Either<JobRefusal, IPreparedInputs>> {
     return this._track(job, { startedAt: this._options.clock.now(), signal, onDidLose }, ownedJob => {
-      if (this._options.hasMembers()) void this._submit(ownedJob)
+      if (this._options.isMembershipKnown()) void this._submit(ownedJob)
     })
   }
 
--- a/src/services/preparation/node/preparationCoordinator.ts
+++ b/src/services/preparation/node/preparationCoordinator.ts
@@ -125,7 +125,7 @@
    * Moves each job, with its results, to the next coordinator as soon as none of its calls is in flight. Jobs that are
    * submitted from now on are answered with `moved` at once.
    */
-  moveJobs (): void {
+  drain (): void {
     this._isDraining = true
     for (const shard of this._shards.values()) this._drainShard(shard)
   }
--- a/src/services/preparation/test/busyHall.test.ts
+++ b/src/services/preparation/test/busyHall.test.ts
@@ -81,8 +81,8 @@
     registry,
     coordinator,
     address,
-    hasMembers: () => true,
-    onDidKnowMembers: new Emitter<void>().event,
+    isMembershipKnown: () => true,
+    onDidReceiveMembers: new Emitter<void>().event,
     listCoordinators: () => [{ address, hall: 'x', incarnation: 1, weight: 100 }],
     listPieceUpstreams: () => registry.listRole('a')
   })
--- a/src/services/preparation/test/preparationCoordinator.test.ts
+++ b/src/services/preparation/test/preparationCoordinator.test.ts
@@ -94,7 +94,7 @@
   await advance(50)
   const computed = updates.flatMap(update => update.kind === 'made' ? update.pieces : [])
   assert.is(computed.length, 8)
-  coordinator.moveJobs()
+  coordinator.drain()
   assert.is(updates.at(-1)?.kind, 'moved')
   assert.not(coordinator.hasJob('j'))
   await advance(50)
@@ -114,7 +114,7 @@
 }))
 
 test('a draining coordinator accepts no job', () => runWith(async ({ coordinator, updates }) => {
-  coordinator.moveJobs()
+  coordinator.drain()
   coordinator.submit({ job: createJob('j', [createStage('a', 1)]), hall: '' }, update => updates.push(update))
   assert.equal(updates, [{ kind: 'moved', jobId: 'j' }])
 }))
--- a/src/services/preparation/test/silentCoordinator.test.ts
+++ b/src/services/preparation/test/silentCoordinator.test.ts
@@ -69,8 +69,8 @@
     registry: near.registry,
     coordinator: near.coordinator,
     address: '127.0.0.1:1',
-    hasMembers: () => true,
-    onDidKnowMembers: new Emitter<void>().event,
+    isMembershipKnown: () => true,
+    onDidReceiveMembers: new Emitter<void>().event,
     listCoordinators: () => [
       { address, hall: 'x', incarnation: 1, weight: 100 },
       { address: '127.0.0.1:1', hall: 'x', incarnation: 2, weight: 50 }
--- a/src/services/quota/node/quotaService.ts
+++ b/src/services/quota/node/quotaService.ts
@@ -48,7 +48,7 @@
     this._options = options
     this._register(options.registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._removeUpstream(entry.id) }))
     this._register(options.links.onDidOpen(link => {
-      link.onDidAnswerQuota(({ id, ...decision }) => this._completeQuery(id, decision))
+      link.onDidReceiveQuotaAnswer(({ id, ...decision }) => this._completeQuery(id, decision))
     }))
   }
 
--- a/src/services/relay/test/crashingPreparation.test.ts
+++ b/src/services/relay/test/crashingPreparation.test.ts
@@ -114,8 +114,8 @@
       registry: this.harness.registry,
       coordinator: near,
       address,
-      hasMembers: () => true,
-      onDidKnowMembers: new Emitter<void>().event,
+      isMembershipKnown: () => true,
+      onDidReceiveMembers: new Emitter<void>().event,
       listCoordinators: () => [{ address: planner, hall: '', incarnation: 1, weight: 1 }],
       listPieceUpstreams: () => this.harness.registry.list()
     }))
