--- a/src/entryNode/callerDirectory.ts
+++ b/src/entryNode/callerDirectory.ts
@@ -27,7 +27,7 @@
   /** Which addresses callers should use, and for how long: where their host's routes have homes, in these or near them. */
   locate ({ host, hall, region }: CallerPlace): AddressAnswer {
     const { clock, facts, membership, regions, hall: ownHall, getTable, getOwnAddress, getMaxKeepMs } = this._options
-    const homes = getTable()?.listHomes(host) ?? []
+    const homes = getTable()?.listHomeRegions(host) ?? []
     const now = clock.now()
     return listNodeAddresses({
       gates: facts.listKind('gate').map(({ value, observedAt }) => ({ ...value, ageMs: now - observedAt })),
--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -41,7 +41,7 @@
 import { estimateReadyMs } from '../services/relay/common/readyForecast.ts'
 import { RelayTable } from '../services/relay/common/relayTable.ts'
 import { RelayServer } from '../services/relay/node/relayServer.ts'
-import type { EndedRequest } from '../services/relay/node/relayServer.ts'
+import type { CompletedRequest } from '../services/relay/node/relayServer.ts'
 import { PepperwoodError } from '../services/result/common/pepperwoodError.ts'
 import { WindowedRetries } from '../services/retry/common/windowedRetries.ts'
 import { UpstreamRegistry } from '../services/upstream/common/upstreamRegistry.ts'
@@ -216,10 +216,10 @@
         agent,
         upstreamProtocol: options.upstreamProtocol,
         registry: this._registry,
-        pool: new RelayPool({ clock, registry: this._registry, router: new AffinityRouter({ random }), createHealth: () => new EjectingTracker(), countNodes: () => this.countNodes(), hasEnded: id => this._quarantine.hasEnded(id), quota: this._quota.service, backoffs }),
+        pool: new RelayPool({ clock, registry: this._registry, router: new AffinityRouter({ random }), createHealth: () => new EjectingTracker(), countNodes: () => this.countNodes(), hasTerminated: id => this._quarantine.hasEnded(id), quota: this._quota.service, backoffs }),
         guard,
         backoffs,
-        noteStatements: stated => this._statements.note(stated),
+        recordStatements: stated => this._statements.note(stated),
         quota: this._quota.service,
         retry: new WindowedRetries({ clock, windowMs: settings.retry_window_s * 1000, share: settings.retry_share * RETRY_SAFETY, getSpare: () => settings.retry_spare * RETRY_SAFETY / this.countNodes() }),
         preparation: this._preparation,
@@ -229,8 +229,8 @@
       callerProtocol: options.callerProtocol,
       getTable,
       describeConfiguration: () => this._describeConfiguration(),
-      findObstacle: () => this._findObstacle(),
-      estimateObstacleMs: () => estimateReadyMs({ isOutage: this._member.isReady && this._table === undefined, sinceMs: clock.now() - this._startedAt })
+      findReadinessError: () => this._findObstacle(),
+      estimateReadinessDelayMs: () => estimateReadyMs({ isOutage: this._member.isReady && this._table === undefined, sinceMs: clock.now() - this._startedAt })
     }))
     this._metrics = new NodeMetrics(createNodeGauges({ clock, relay: this._relay, member: this._member, registry: this._registry, coordinator: this._coordinator, quota: this._quota, statements: this._statements, quarantine: this._quarantine, pause: this._pause }))
     this._register(this._statements.onDidNote(kind => this._metrics.countStatement(kind)))
@@ -240,7 +240,7 @@
       address: settings.callers_address,
       hall: settings.hall,
       incarnation: options.incarnation,
-      getState: () => ({ isReady: this.isReady, isDraining: this._isDraining, inFlight: this._relay.openCount, recentRequests: Math.round(this._recent.value), configuration: this._member.configuration.number }),
+      getState: () => ({ isReady: this.isReady, isDraining: this._isDraining, inFlight: this._relay.activeRequestCount, recentRequests: Math.round(this._recent.value), configuration: this._member.configuration.number }),
       onDidReport: ({ isDraining }) => this._member.gossip.spreadNow(isDraining)
     })
     this._register(this._relay.onDidEnd(ended => this._noteEnd(ended)))
@@ -305,13 +305,13 @@
     const graceMs = this._settings.stop_grace_s * 1000
     const ending = new PlannedStop({ clock, relay: this._relay, graceMs })
     this._isDraining = true
-    log.info('stopping', { open: this._relay.openCount, grace_ms: graceMs })
+    log.info('stopping', { open: this._relay.activeRequestCount, grace_ms: graceMs })
     this._report.refresh()
     this._relay.drain()
     await this._member.leave()
     if (this._preparation.hasOtherCoordinator()) this._coordinator.drain()
     await ending.run()
-    log.info('stopped', { open: this._relay.openCount, took_ms: Math.round(ending.tookMs) })
+    log.info('stopped', { open: this._relay.activeRequestCount, took_ms: Math.round(ending.tookMs) })
     this._onDidStop.fire()
     this.dispose()
   }
@@ -356,7 +356,7 @@
 
   /** A home that no hall lies in keeps binding: its requests are refused, and operators see why. */
   private _checkHomes (table: RelayTable): void {
-    for (const { of, regions } of table.listAllHomes()) {
+    for (const { of, regions } of table.listAllHomeRegions()) {
       for (const region of this._regions.listUnknown(regions)) this._options.log.warn('home_unknown', { of, region })
     }
   }
@@ -366,7 +366,7 @@
     return this._member.membership.countLive()
   }
 
-  private _noteEnd (ended: EndedRequest): void {
+  private _noteEnd (ended: CompletedRequest): void {
     this._recent.add(1)
     this._metrics.record(ended)
     const { id, route, customer, elapsedMs, end } = ended
--- a/src/entryNode/nodeGauges.ts
+++ b/src/entryNode/nodeGauges.ts
@@ -27,7 +27,7 @@
 export function createNodeGauges ({ clock, relay, member, registry, coordinator, quota, statements, quarantine, pause }: GaugedParts): NodeGauges {
   const { backoffs, guard } = statements
   return {
-    countOpen: () => relay.openCount,
+    countOpen: () => relay.activeRequestCount,
     countMembers: () => member.membership.countLive(),
     countUpstreams: () => registry.size,
     countColdUpstreams: () => registry.list().filter(({ coldUntil = 0 }) => coldUntil > clock.now()).length,
--- a/src/entryNode/nodeMetrics.ts
+++ b/src/entryNode/nodeMetrics.ts
@@ -2,7 +2,7 @@
  * What a node counts. Labels take their values from small fixed sets; customers and routes are told by the log.
  */
 import { MetricsRegistry } from '../services/metrics/node/metricsServer.ts'
-import type { EndedRequest } from '../services/relay/node/relayServer.ts'
+import type { CompletedRequest } from '../services/relay/node/relayServer.ts'
 import type { StatementKind } from '../services/upstream/common/upstreamStatement.ts'
 
 export interface NodeGauges {
@@ -61,7 +61,7 @@
     this._statements.inc({ kind })
   }
 
-  record ({ elapsedMs, end }: EndedRequest): void {
+  record ({ elapsedMs, end }: CompletedRequest): void {
     this._ends.inc({ result: end.result })
     this._attempts.inc(end.attempts)
     this._times.observe({ result: end.result }, elapsedMs)
--- a/src/entryNode/plannedStop.ts
+++ b/src/entryNode/plannedStop.ts
@@ -34,14 +34,14 @@
   /** Resolves when nothing is open any more, or the grace time is over. */
   async run (): Promise<void> {
     const { relay, graceMs } = this._options
-    const isIdle = () => relay.openCount === 0
+    const isIdle = () => relay.activeRequestCount === 0
     await this._waitUntil(graceMs * TAKE_SHARE)
     relay.refuseNew()
     await this._waitUntil(graceMs * LINGER_SHARE)
     relay.close()
     const endMs = graceMs - STOP_MARGIN_MS
     await this._waitUntil(endMs - LAST_SEND_MS, isIdle)
-    relay.giveUpWaiting()
+    relay.refuseWaiting()
     await this._waitUntil(endMs, isIdle)
   }
 
--- a/src/services/relay/common/relayPool.ts
+++ b/src/services/relay/common/relayPool.ts
@@ -21,7 +21,7 @@
   /** Number of nodes that send to the same upstreams, this one included. */
   readonly countNodes: () => number
   /** Whether an upstream's process is known to have terminated although the upstream is still listed. */
-  readonly hasEnded: (upstream: string) => boolean
+  readonly hasTerminated: (upstream: string) => boolean
   /** Quota of upstreams with a rate limit; without it no limits apply. */
   readonly quota?: Pick<IQuotaService, 'getWaitMs'>
   /** Remaining backoff time of each upstream; without it no upstream is in backoff. */
@@ -117,7 +117,7 @@
   chooseForSuspect ({ tried, key, ...query }: SuspectQuery): UpstreamEntry | undefined {
     const entries = this._listAvailable(query)
     const untried = entries.filter(entry => !tried.has(entry.id))
-    const usable = this._listHealthy(untried.length > 0 ? untried : entries, entries.length).filter(entry => !this._options.hasEnded(entry.id))
+    const usable = this._listHealthy(untried.length > 0 ? untried : entries, entries.length).filter(entry => !this._options.hasTerminated(entry.id))
     const ranked = rankByRendezvous(key, usable.map(entry => entry.id))
     const usages = ranked.map(id => ({ id, usage: this._getUsage(id) }))
     const [best] = usages.sort((a, b) => a.usage.suspectCount - b.usage.suspectCount || a.usage.inFlight - b.usage.inFlight)
--- a/src/services/relay/common/relayProtocol.ts
+++ b/src/services/relay/common/relayProtocol.ts
@@ -35,7 +35,7 @@
 }
 
 /** An answer to a caller that this node created itself. */
-export interface OwnAnswer {
+export interface RefusalAnswer {
   readonly status: number
   readonly headers: readonly HeaderField[]
   readonly body: string
@@ -75,7 +75,7 @@
   abstract readRequest (head: MessageHead): Either<PepperwoodError, RelayRequest>
   /** Returns the caller's request id for logs, also if the request is invalid; empty if there is none. */
   abstract findRequestId (head: MessageHead): string
-  abstract createAnswer (refusal: RelayRefusal): OwnAnswer
+  abstract createAnswer (refusal: RelayRefusal): RefusalAnswer
 }
 
 /** Encodes requests to upstreams and decodes the heads of their answers. */
--- a/src/services/relay/common/relayTable.ts
+++ b/src/services/relay/common/relayTable.ts
@@ -31,12 +31,12 @@
   }
 
   /** Returns the home regions of all routes of a host; empty if none of them has home regions. */
-  listHomes (host: string): readonly string[] {
+  listHomeRegions (host: string): readonly string[] {
     return [...new Set((this._routesByHost.get(host) ?? []).flatMap(route => route.homeRegions))]
   }
 
   /** Returns the home regions of each route and customer that has any, with a description of the route or customer. */
-  listAllHomes (): readonly { readonly of: string, readonly regions: readonly string[] }[] {
+  listAllHomeRegions (): readonly { readonly of: string, readonly regions: readonly string[] }[] {
     const routes = [...this._routesByHost.values()].flat().map(route => ({ of: `route ${route.name}`, regions: route.homeRegions }))
     const customers = [...new Set(this._customersByKey.values())].map(customer => ({ of: `customer ${customer.name}`, regions: customer.homeRegions }))
     return [...routes, ...customers].filter(({ regions }) => regions.length > 0)
--- a/src/services/relay/node/relayContext.ts
+++ b/src/services/relay/node/relayContext.ts
@@ -34,7 +34,7 @@
   readonly guard: SendGuard
   readonly backoffs: IBackoffService
   readonly retry: RetryPolicy
-  readonly noteStatements: (stated: StatedByUpstream) => void
+  readonly recordStatements: (stated: StatedByUpstream) => void
   readonly quota: IQuotaService
   readonly preparation: IPreparationService
   readonly releaseDelay: ReleaseDelay
--- a/src/services/relay/node/relayRun.ts
+++ b/src/services/relay/node/relayRun.ts
@@ -10,7 +10,7 @@
 import type { PictureAge, UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { LostPieces } from '../../preparation/common/preparationService.ts'
 import type { JobRefusal } from '../../preparation/common/preparationJob.ts'
-import { computeResponseTimeoutMs, computePauseTimeoutMs } from '../common/attemptTimes.ts'
+import { computeResponseTimeoutMs, computePauseTimeoutMs } from '../common/attemptTimeouts.ts'
 import { decideAfterAttempt, isUpstreamFailure, isConnectionLost, isAccepted, isWithheld } from '../common/attemptDecision.ts'
 import type { AttemptDecision, AttemptOutcome } from '../common/attemptDecision.ts'
 import { createPreparationJob } from '../common/preparationNeed.ts'
@@ -22,9 +22,9 @@
 import type { AttemptResult } from './relayAttempt.ts'
 import type { RelayContext } from './relayContext.ts'
 import { RequestInputs } from './requestInputs.ts'
-import { RequestFingerprint } from './requestSuspect.ts'
-import type { AcceptedRequest } from './takenRequest.ts'
-import { UpstreamSelector } from './upstreamChoice.ts'
+import { RequestFingerprint } from './requestFingerprint.ts'
+import type { AcceptedRequest } from './acceptedRequest.ts'
+import { UpstreamSelector } from './upstreamSelector.ts'
 
 /** How a request ended, for logs and metrics. */
 export interface RelayOutcome {
@@ -215,7 +215,7 @@
         scheduledRelease = this._inputs.scheduleRelease()
         return true
       },
-      onDidReadStatements: statements => context.noteStatements({ upstream: upstream.id, statements }),
+      onDidReadStatements: statements => context.recordStatements({ upstream: upstream.id, statements }),
       onDidReadLoad: load => context.pool.recordLoad(upstream, load),
       onDidReceiveFirstOutput: () => {
         if (writtenAt !== undefined) context.backoffs.settleSend(upstream.id, writtenAt, true)
--- a/src/services/relay/node/relayServer.ts
+++ b/src/services/relay/node/relayServer.ts
@@ -20,7 +20,7 @@
 import type { RelayContext } from './relayContext.ts'
 import { RelayRun } from './relayRun.ts'
 import type { RelayOutcome } from './relayRun.ts'
-import type { AcceptedRequest } from './takenRequest.ts'
+import type { AcceptedRequest } from './acceptedRequest.ts'
 
 export interface RelayServerOptions {
   readonly context: Omit<RelayContext, 'refuse'>
@@ -30,13 +30,13 @@
   /** Number and age of the active configuration, for logs. */
   readonly describeConfiguration: () => string
   /** Returns why this node cannot accept requests now; undefined if it can. */
-  readonly findObstacle: () => PepperwoodError | undefined
+  readonly findReadinessError: () => PepperwoodError | undefined
   /** Estimates how long the node will stay unable to accept requests, in milliseconds. */
-  readonly estimateObstacleMs: () => number
+  readonly estimateReadinessDelayMs: () => number
 }
 
 /** A completed request, for logs and metrics. */
-export interface EndedRequest {
+export interface CompletedRequest {
   readonly id: string
   readonly route: string
   readonly customer: string
@@ -59,7 +59,7 @@
   private readonly _context: RelayContext
   private readonly _server: Server
   private readonly _keyDigests = new Map<string, string>()
-  private readonly _onDidEnd = this._register(new Emitter<EndedRequest>())
+  private readonly _onDidEnd = this._register(new Emitter<CompletedRequest>())
   readonly onDidEnd = this._onDidEnd.event
   private _activeCount = 0
   private _receivedCount = 0
@@ -81,7 +81,7 @@
   }
 
   /** Number of requests in progress. */
-  get openCount (): number {
+  get activeRequestCount (): number {
     return this._activeCount
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** Refuses requests that have not been sent to an upstream yet, so that callers retry at another node. */
-  giveUpWaiting (): void {
+  refuseWaiting (): void {
     for (const run of [...this._runs]) run.refuseIfWaiting()
   }
 
@@ -168,10 +168,10 @@
   }
 
   private _admit (request: RelayRequest): Either<RelayRefusal, AdmittedRequest> {
-    const readinessError = this._options.findObstacle()
+    const readinessError = this._options.findReadinessError()
     const table = this._options.getTable()
     if (this._isRefusingNew) return Left({ error: new PepperwoodError({ name: 'gateDraining', message: 'this node is stopping' }), isNotRun: true, retryAfterMs: OTHER_NODE_RETRY_MS })
-    if (readinessError !== undefined) return Left({ error: readinessError, isNotRun: true, retryAfterMs: this._options.estimateObstacleMs() })
+    if (readinessError !== undefined) return Left({ error: readinessError, isNotRun: true, retryAfterMs: this._options.estimateReadinessDelayMs() })
     if (table === undefined) return Left(createRefusal('gateNotReady', 'no configuration is known yet', true))
     const route = table.findRoute(request.host, getPath(request.target))
     if (route === undefined) return Left(createRefusal('routeUnknown', 'no route has this host and path', false, request.host))
--- a/src/services/relay/node/upstreamChoice.ts
+++ b/src/services/relay/node/upstreamSelector.ts
@@ -4,7 +4,7 @@
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { RelayContext } from './relayContext.ts'
 import type { RequestInputs } from './requestInputs.ts'
-import type { AcceptedRequest } from './takenRequest.ts'
+import type { AcceptedRequest } from './acceptedRequest.ts'
 
 export interface UpstreamSelectorOptions {
   readonly context: RelayContext
--- a/src/services/relay/test/fakes.ts
+++ b/src/services/relay/test/fakes.ts
@@ -31,13 +31,13 @@
 import { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { UpstreamStatement } from '../../upstream/common/upstreamStatement.ts'
 import { CallerProtocol, UpstreamProtocol } from '../common/relayProtocol.ts'
-import type { AnswerHead, AnswerVerdict, MessageHead, OwnAnswer, RelayCall, RelayRefusal } from '../common/relayProtocol.ts'
+import type { AnswerHead, AnswerVerdict, MessageHead, RefusalAnswer, RelayCall, RelayRefusal } from '../common/relayProtocol.ts'
 import { RelayPool } from '../common/relayPool.ts'
 import type { HeaderField, RelayRequest } from '../common/relayRequest.ts'
 import { RoundRobinRouter } from '../common/relayRouter.ts'
 import { RelayTable } from '../common/relayTable.ts'
 import { RelayServer } from '../node/relayServer.ts'
-import type { EndedRequest } from '../node/relayServer.ts'
+import type { CompletedRequest } from '../node/relayServer.ts'
 
 /** Requests have the headers id and, optionally, key, time and pieces; the rest is plain HTTP. */
 class FakeCallerProtocol extends CallerProtocol {
@@ -62,7 +62,7 @@
     return typeof headers.id === 'string' ? headers.id : ''
   }
 
-  createAnswer ({ error, isNotRun }: RelayRefusal): OwnAnswer {
+  createAnswer ({ error, isNotRun }: RelayRefusal): RefusalAnswer {
     return { status: isNotRun ? 503 : 502, headers: [], body: error.resultName }
   }
 }
@@ -174,7 +174,7 @@
 }
 
 export class RelayHarness extends Disposable {
-  readonly completedRequests: EndedRequest[] = []
+  readonly completedRequests: CompletedRequest[] = []
   /** Log lines, in order. */
   readonly logLines: string[] = []
   readonly registry = this._register(new UpstreamRegistry())
@@ -213,10 +213,10 @@
         agent,
         upstreamProtocol: _options.protocols?.upstream ?? new FakeUpstreamProtocol(),
         registry: this.registry,
-        pool: new RelayPool({ clock, registry: this.registry, router: new RoundRobinRouter(), createHealth: () => new TrustingTracker(), countNodes: () => 1, hasEnded: id => quarantine.hasEnded(id), quota, backoffs }),
+        pool: new RelayPool({ clock, registry: this.registry, router: new RoundRobinRouter(), createHealth: () => new TrustingTracker(), countNodes: () => 1, hasTerminated: id => quarantine.hasEnded(id), quota, backoffs }),
         guard,
         backoffs,
-        noteStatements: stated => statements.note(stated),
+        recordStatements: stated => statements.note(stated),
         quota,
         retry: new RetryBudget({ maxSaved: _options.retries ?? 10 }),
         preparation: _options.preparation ?? FAILING_PREPARATION,
@@ -226,8 +226,8 @@
       callerProtocol: _options.protocols?.caller ?? new FakeCallerProtocol(),
       getTable: () => table,
       describeConfiguration: () => '1.7 for 20 ms',
-      findObstacle: () => undefined,
-      estimateObstacleMs: () => 250
+      findReadinessError: () => undefined,
+      estimateReadinessDelayMs: () => 250
     }))
     this.server.onDidEnd(ended => this.completedRequests.push(ended))
   }
--- a/src/services/relay/test/relayServer.test.ts
+++ b/src/services/relay/test/relayServer.test.ts
@@ -120,8 +120,8 @@
 ], { route: { stages: [{ role: 'p', after: [], resultBytes: 1 }] }, preparation: blockingPreparation }, async (harness, upstreams) => {
   const waiting = harness.call('a', 'Pieces: 1\r\n')
   const sent = harness.call('b')
-  while (upstreams[0]?.requestHeads.length !== 1 || harness.server.openCount < 2) await new Promise(resolve => { setTimeout(resolve, 5) })
-  harness.server.giveUpWaiting()
+  while (upstreams[0]?.requestHeads.length !== 1 || harness.server.activeRequestCount < 2) await new Promise(resolve => { setTimeout(resolve, 5) })
+  harness.server.refuseWaiting()
   assert.match((await waiting).text, /^HTTP\/1\.1 503 .*gateDraining$/s)
   assert.match((await sent).text, /^HTTP\/1\.1 200 .*body$/s)
 }))
