--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -201,7 +201,7 @@
       onDidReceiveMembers: this._member.onDidJoin,
       address: coordinatorAddress,
       listCoordinators: () => coordinators.list(),
-      listPieceUpstreams: () => (this._table?.listPieceRoles() ?? []).flatMap(role => this._registry.listRole(role.name))
+      listPieceUpstreams: () => (this._table?.listPieceRoles() ?? []).flatMap(role => this._registry.listAvailable(role.name))
     }))
     this._quarantine = this._register(new QuarantineService({ clock, log, facts: this._member.facts, registry: this._registry, node: settings.address, incarnation: options.incarnation }))
     const agent = new Agent({ keepAlive: true, timeout: IDLE_CONNECTION_MS, scheduling: 'lifo' })
--- a/src/entryNode/nodeStatements.ts
+++ b/src/entryNode/nodeStatements.ts
@@ -7,7 +7,7 @@
 import { BackoffService } from '../services/backoff/node/backoffService.ts'
 import type { ILogService } from '../services/log/node/logger.ts'
 import { dispatchStatements } from '../services/upstream/common/upstreamStatement.ts'
-import type { StatedByUpstream, StatementKind, StatementReceivers, UpstreamStatement } from '../services/upstream/common/upstreamStatement.ts'
+import type { StatementBatch, StatementKind, StatementReceivers, UpstreamStatement } from '../services/upstream/common/upstreamStatement.ts'
 import type { UpstreamRegistry } from '../services/upstream/common/upstreamRegistry.ts'
 import { SendGuard } from '../services/upstream/node/sendGuard.ts'
 
@@ -52,7 +52,7 @@
     return this._invalidCount
   }
 
-  note (stated: StatedByUpstream): void {
+  note (stated: StatementBatch): void {
     dispatchStatements(stated, this._receivers)
     for (const statement of stated.statements) if (!isPlain(statement)) this._onDidNote.fire(statement.kind)
   }
--- a/src/entryNode/test/nodeStatements.test.ts
+++ b/src/entryNode/test/nodeStatements.test.ts
@@ -29,13 +29,13 @@
 
 test('an upstream that says that it leaves takes no more work', () => {
   const { registry, node } = runWith([{ kind: 'rate', perS: undefined }, { kind: 'leaving' }])
-  assert.equal(registry.listRole('r'), [])
+  assert.equal(registry.listAvailable('r'), [])
   assert.not(node.guard.maySend('u', 'a1'))
 })
 
 test('an upstream that asks for a pause gets nothing', () => {
   const { registry, node } = runWith([{ kind: 'backoff', forMs: 300 }])
-  assert.is(registry.listRole('r').length, 1)
+  assert.is(registry.listAvailable('r').length, 1)
   assert.is(node.backoffs.getWaitMs('u'), 300)
   assert.not(node.guard.maySend('u', 'a1'))
 })
--- a/src/entryNode/upstreamSharing.ts
+++ b/src/entryNode/upstreamSharing.ts
@@ -11,7 +11,7 @@
 import { formatPosition } from '../services/feed/common/sourcePosition.ts'
 import type { ILogService } from '../services/log/node/logger.ts'
 import type { UpstreamChange, UpstreamRegistry } from '../services/upstream/common/upstreamRegistry.ts'
-import type { Evacuation, UpstreamNews, UpstreamSource } from '../services/upstream/common/upstreamSource.ts'
+import type { Evacuation, UpstreamUpdate, UpstreamSource } from '../services/upstream/common/upstreamSource.ts'
 
 export interface UpstreamSharingOptions {
   readonly clock: IClock
@@ -59,24 +59,24 @@
     this._options.source.start()
   }
 
-  private _takeNews (news: UpstreamNews): void {
+  private _takeNews (news: UpstreamUpdate): void {
     const { log, registry } = this._options
     if (news.kind === 'updated') return registry.update(news.entry, 'source')
-    if (news.kind === 'removed') return registry.drop(news.id, 'removed')
+    if (news.kind === 'removed') return registry.remove(news.id, 'removed')
     if (news.kind === 'evacuated' || news.kind === 'readmitted') return this._shareEvacuation(news.evacuation, news.kind === 'evacuated')
     this._takeListedEvacuations(news.evacuations, news.revision)
     const listed = new Set(news.entries.map(entry => entry.id))
     const knownCount = registry.size
     for (const entry of news.entries) registry.update(entry, LIST_SIGNAL)
     if (registry.size > knownCount) log.info('upstreams_listed', { listed: listed.size, known_before: knownCount })
-    for (const entry of registry.list()) if (!listed.has(entry.id)) registry.drop(entry.id, 'not listed')
+    for (const entry of registry.list()) if (!listed.has(entry.id)) registry.remove(entry.id, 'not listed')
   }
 
   /** Before the upstreams, so that none of an evacuated hall is used for a moment. */
   private _takeListedEvacuations (evacuations: readonly Evacuation[], revision: number): void {
     const listed = new Set(evacuations.map(({ hall }) => hall))
     for (const evacuation of evacuations) this._shareEvacuation(evacuation, true)
-    for (const hall of this._options.registry.listEvacuated()) if (!listed.has(hall)) this._shareEvacuation({ hall, revision }, false)
+    for (const hall of this._options.registry.listEvacuatedHalls()) if (!listed.has(hall)) this._shareEvacuation({ hall, revision }, false)
   }
 
   /** What is known of a hall is the fact with the source's latest revision, whichever node heard of it. */
@@ -90,11 +90,11 @@
   private _takeEvacuation ({ counter, source: peer, value: { hall, isEvacuated } }: HeldFactOf<'evacuation'>): void {
     const { clock, registry, source } = this._options
     this._readmissions.delete(hall)
-    if (!isEvacuated && peer !== '' && registry.computeAge(clock.now()).revision < counter) return this._delayReadmission(hall, counter, peer)
+    if (!isEvacuated && peer !== '' && registry.computeFreshness(clock.now()).revision < counter) return this._delayReadmission(hall, counter, peer)
     this._setEvacuated(hall, isEvacuated, counter, peer)
     if (peer === '' || !isEvacuated) return
     clock.schedule(CONFIRM_EVACUATION_MS, () => {
-      if (!this._isDisposed && registry.isEvacuated(hall) && !this._toldHalls.has(hall)) source.listAgain()
+      if (!this._isDisposed && registry.isEvacuated(hall) && !this._toldHalls.has(hall)) source.refreshList()
     })
   }
 
@@ -116,7 +116,7 @@
 
   private _confirm (revision: number): void {
     const { clock, registry } = this._options
-    registry.confirm(revision, clock.now())
+    registry.confirmRevision(revision, clock.now())
     for (const [hall, since] of this._readmissions) if (since <= revision) this._applyReadmission(hall, since, '')
   }
 
@@ -124,7 +124,7 @@
     const { clock, registry, log } = this._options
     if (!isEvacuated && registry.isEvacuated(hall)) this._markCold(hall)
     if (!registry.setEvacuated(hall, isEvacuated)) return
-    const known = registry.computeAge(clock.now())
+    const known = registry.computeFreshness(clock.now())
     log.info(isEvacuated ? 'hall_evacuated' : 'hall_readmitted', { hall, revision: formatPosition(revision), source: peer === '' ? 'own' : peer, known_revision: formatPosition(known.revision), known_age_ms: Math.round(known.ageMs) })
   }
 
@@ -140,7 +140,7 @@
   private _noteChange ({ kind, entry, signal }: UpstreamChange): void {
     // A list of all upstreams is one line: a starting fleet would write thousands.
     if (kind === 'changed' || (kind === 'added' && signal === LIST_SIGNAL)) return
-    const { revision, ageMs } = this._options.registry.computeAge(this._options.clock.now())
+    const { revision, ageMs } = this._options.registry.computeFreshness(this._options.clock.now())
     this._options.log.info(`upstream_${kind}`, { upstream: entry.id, role: entry.role, address: entry.address, signal, known_revision: formatPosition(revision), known_age_ms: Math.round(ageMs) })
     if (kind === 'added' || signal === PEER_SIGNAL) return
     this._options.facts.merge({
@@ -158,10 +158,10 @@
     if (fact.value.kind !== 'leaving' || fact.source === '') return
     if (fact.counter === LEAVING_COUNTER) return registry.markLeaving(fact.value.upstream, PEER_SIGNAL)
     const { upstream } = fact.value
-    if (!source.isCurrent) return registry.drop(upstream, PEER_SIGNAL)
+    if (!source.isCurrent) return registry.remove(upstream, PEER_SIGNAL)
     // A peer's list may have been short for a moment, or this node's watch may have gone silent: a new list decides.
     clock.schedule(CONFIRM_MS, () => {
-      if (!this._isDisposed && registry.get(upstream) !== undefined) source.listAgain()
+      if (!this._isDisposed && registry.get(upstream) !== undefined) source.refreshList()
     })
   }
 
--- a/src/gate/policies.ts
+++ b/src/gate/policies.ts
@@ -4,7 +4,7 @@
 import type { IRandom } from '../base/common/random.ts'
 import { AdmitAll, PredictedFinishAdmission } from '../services/admission/common/admissionPolicy.ts'
 import type { AdmissionPolicy } from '../services/admission/common/admissionPolicy.ts'
-import { EjectingTracker, TrustingTracker } from '../services/health/common/healthTracker.ts'
+import { EjectingTracker, AlwaysHealthyTracker } from '../services/health/common/healthTracker.ts'
 import type { HealthTracker } from '../services/health/common/healthTracker.ts'
 import { AdaptiveLimiter, FixedLimiter } from '../services/limits/common/concurrencyLimiter.ts'
 import type { ConcurrencyLimiter } from '../services/limits/common/concurrencyLimiter.ts'
@@ -39,5 +39,5 @@
 }
 
 export function createHealth (policy: PolicySettings): HealthTracker {
-  return policy.health === 'trusting' ? new TrustingTracker() : new EjectingTracker()
+  return policy.health === 'trusting' ? new AlwaysHealthyTracker() : new EjectingTracker()
 }
--- a/src/services/backoff/test/backoffPieces.test.ts
+++ b/src/services/backoff/test/backoffPieces.test.ts
@@ -83,7 +83,7 @@
 test('a backoff ends when its upstream instance is removed', () => {
   const { registry, backoffs } = createParts()
   backoffs.note('u', BACKOFF_MS)
-  registry.drop('u', 'removed')
+  registry.remove('u', 'removed')
   assert.ok(backoffs.isEmpty)
   backoffs.note('u', BACKOFF_MS)
   assert.ok(backoffs.isEmpty)
--- a/src/services/feed/common/sourceChanges.ts
+++ b/src/services/feed/common/sourceChanges.ts
@@ -31,7 +31,7 @@
  * Returns the changes after a revision that is known already. Changes of the same source arrive from several senders in any
  * order: applied unfiltered, a late change would restore a value whose deletion was received earlier.
  */
-export function dropKnown (received: SourceChanges, known: number): SourceChanges {
+export function dropKnownChanges (received: SourceChanges, known: number): SourceChanges {
   return {
     after: Math.max(received.after, known),
     revision: Math.max(received.revision, known),
--- a/src/services/feed/node/feedService.ts
+++ b/src/services/feed/node/feedService.ts
@@ -12,8 +12,8 @@
 import type { PeerLink } from '../../facts/node/peerLink.ts'
 import type { ILogService } from '../../log/node/logger.ts'
 import type { PeerMessage } from '../../membership/node/gossipService.ts'
-import type { FedChanges, IChangeFeed } from '../common/changeFeed.ts'
-import { FeederTracker, MAX_SILENCE_MS } from '../common/feedBelief.ts'
+import type { FeederChanges, IChangeFeed } from '../common/changeFeed.ts'
+import { FeederTracker, MAX_SILENCE_MS } from '../common/feederTracker.ts'
 import { chooseFeeders, listFeeders } from '../common/feederChoice.ts'
 import type { FeedMember } from '../common/feederChoice.ts'
 import type { SourceChanges } from '../common/sourceChanges.ts'
@@ -65,11 +65,11 @@
   private _hasReliableFeeder = false
   private _silenceTimer: IDisposable | undefined
   private readonly _onDidChange = this._register(new Emitter<void>())
-  private readonly _onDidReceive = this._register(new Emitter<FedChanges>())
+  private readonly _onDidReceive = this._register(new Emitter<FeederChanges>())
   readonly onDidChange = this._onDidChange.event
   readonly onDidReceive = this._onDidReceive.event
   private readonly _onDidDetectLaterEra = this._register(new Emitter<number>())
-  readonly onDidOutgrow = this._onDidDetectLaterEra.event
+  readonly onDidDetectLaterEra = this._onDidDetectLaterEra.event
 
   constructor (options: FeedServiceOptions) {
     super()
@@ -80,7 +80,7 @@
     this._register(toDisposable(() => this._silenceTimer?.dispose()))
   }
 
-  get isFed (): boolean {
+  get hasReliableFeeder (): boolean {
     return this._hasReliableFeeder
   }
 
@@ -98,7 +98,7 @@
     this._sender.publish(changes, uninterruptedSince)
   }
 
-  announceLoss (): void {
+  announceSourceLoss (): void {
     this._sender.announceSourceLoss()
   }
 
@@ -123,7 +123,7 @@
     if (this._isLaterEra(revision)) return this._onDidDetectLaterEra.fire(revision)
     if (after > this._revision) return this._queryChanges(source)
     this._tracker.recordConfirmation(source, revision, now - ageMs, now)
-    this._onDidReceive.fire({ after, revision, changes, source, heardSince: now - heardForMs, confirmedAt: now - ageMs })
+    this._onDidReceive.fire({ after, revision, changes, source, uninterruptedSince: now - heardForMs, confirmedAt: now - ageMs })
     this._updateReliability()
   }
 
--- a/src/services/feed/test/feedDecisions.test.ts
+++ b/src/services/feed/test/feedDecisions.test.ts
@@ -2,9 +2,9 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { ChangeHistory } from '../common/changeHistory.ts'
-import { FeederTracker, MAX_BEHIND_MS, MAX_SILENCE_MS } from '../common/feedBelief.ts'
+import { FeederTracker, MAX_BEHIND_MS, MAX_SILENCE_MS } from '../common/feederTracker.ts'
 import { chooseFeeders, listFeeders, MIN_HOSTS_FOR_FEEDERS } from '../common/feederChoice.ts'
-import { dropKnown } from '../common/sourceChanges.ts'
+import { dropKnownChanges } from '../common/sourceChanges.ts'
 import type { SourceChange } from '../common/sourceChanges.ts'
 
 const SEED = 20261202
@@ -116,7 +116,7 @@
     for (const { after, revision } of batches) {
       // Changes after a gap are requested again.
       if (after > known) continue
-      const added = dropKnown({ after, revision, changes: all.slice(after, revision) }, known)
+      const added = dropKnownChanges({ after, revision, changes: all.slice(after, revision) }, known)
       assert.ok(added.revision >= known)
       applied.push(...added.changes.map(change => change.revision))
       known = added.revision
--- a/src/services/feed/test/silentFeeder.test.ts
+++ b/src/services/feed/test/silentFeeder.test.ts
@@ -61,7 +61,7 @@
 
 test('the link to a feeder that does not answer is replaced, although no member probes it', () => runWithFeeders(undefined, async (links, feed, feeders) => {
   assert.ok(await waitUntil(() => feeders.every(address => links.dropped.includes(address)), MAX_WAIT_MS), 'the links were kept')
-  assert.not(feed.isFed)
+  assert.not(feed.hasReliableFeeder)
 }))
 
 test('the link to a feeder that reports the loss of the source is kept', () => runWithFeeders({ kind: 'feedLost' }, async links => {
--- a/src/services/health/common/healthTracker.ts
+++ b/src/services/health/common/healthTracker.ts
@@ -12,7 +12,7 @@
 }
 
 /** Baseline for comparisons: considers every upstream healthy. */
-export class TrustingTracker extends HealthTracker {
+export class AlwaysHealthyTracker extends HealthTracker {
   readonly ejectedUntil = 0
 
   getState (): HealthState {
--- a/src/services/preparation/common/pieceProtocol.ts
+++ b/src/services/preparation/common/pieceProtocol.ts
@@ -3,7 +3,7 @@
  */
 import { Emitter } from '../../../base/common/event.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
-import type { StatedByUpstream } from '../../upstream/common/upstreamStatement.ts'
+import type { StatementBatch } from '../../upstream/common/upstreamStatement.ts'
 import type { PieceCallOutcome, PlannedPiece } from './plannedCall.ts'
 
 export interface PieceCallOptions {
@@ -15,7 +15,7 @@
 export type FreeOptions = Pick<PieceCallOptions, 'onWillSend'>
 
 export abstract class PieceProtocol {
-  protected readonly _onDidReceiveStatement = new Emitter<StatedByUpstream>()
+  protected readonly _onDidReceiveStatement = new Emitter<StatementBatch>()
   /** Fires for statements about its own state that an upstream sends with an answer. */
   readonly onDidReceiveStatement = this._onDidReceiveStatement.event
 
--- a/src/services/preparation/common/pieceState.ts
+++ b/src/services/preparation/common/pieceState.ts
@@ -2,13 +2,13 @@
  * State of the pieces of one stage of a job. Counts by status are maintained incrementally, since scheduling reads them for
  * all jobs on every arrival and every call.
  */
-import { MAX_ENDS } from '../../quarantine/common/crashEvidence.ts'
+import { MAX_CRASHES } from '../../quarantine/common/crashEvidence.ts'
 import type { PieceResult } from './preparationJob.ts'
 
 /** With more failures than this, the cause is unlikely to be transient, and each further attempt delays the job. */
 const MAX_FAILURES = 4
 /** The same limit as for crashes by a request before it is quarantined. */
-const MAX_POSSIBLE_CRASHES = MAX_ENDS
+const MAX_POSSIBLE_CRASHES = MAX_CRASHES
 
 export type PieceStatus = 'waiting' | 'running' | 'made' | 'freed'
 
--- a/src/services/preparation/node/planLog.ts
+++ b/src/services/preparation/node/planLog.ts
@@ -3,7 +3,7 @@
  */
 import { formatPosition } from '../../feed/common/sourcePosition.ts'
 import type { ILogService } from '../../log/node/logger.ts'
-import type { PictureAge } from '../../upstream/common/upstreamRegistry.ts'
+import type { RegistryFreshness } from '../../upstream/common/upstreamRegistry.ts'
 import type { PlanLoad } from '../common/planLoad.ts'
 import type { JobDecline } from '../common/preparationJob.ts'
 import type { JobEnd, PieceCallOutcome, PlannedCall } from '../common/plannedCall.ts'
@@ -12,7 +12,7 @@
   readonly outcome: PieceCallOutcome
   readonly tookMs: number
   /** Revision and age of the upstream registry when the call was sent. */
-  readonly registryAge: PictureAge
+  readonly registryAge: RegistryFreshness
 }
 
 const BYTES_PER_KB = 1000
--- a/src/services/preparation/node/planShard.ts
+++ b/src/services/preparation/node/planShard.ts
@@ -24,8 +24,8 @@
   constructor (readonly hall: string, { registry, getTable, limits }: PlanShardOptions) {
     this.planner = new PreparationPlanner(role => {
       const msPerMovedToken = computeTransferMsPerToken(getTable()?.getRole(role)?.generationWork)
-      return registry.listRole(role).filter(entry => this.isInScope(entry)).map(entry => ({ id: entry.id, hall: entry.hall, msPerMovedToken, limit: limits?.find(entry) }))
-    }, (role, homeHalls) => registry.listRole(role).some(entry => homeHalls?.includes(entry.hall) !== false && limits?.find(entry) === undefined))
+      return registry.listAvailable(role).filter(entry => this.isInScope(entry)).map(entry => ({ id: entry.id, hall: entry.hall, msPerMovedToken, limit: limits?.find(entry) }))
+    }, (role, homeHalls) => registry.listAvailable(role).some(entry => homeHalls?.includes(entry.hall) !== false && limits?.find(entry) === undefined))
   }
 
   isInScope (entry: UpstreamEntry): boolean {
--- a/src/services/preparation/node/preparationCoordinator.ts
+++ b/src/services/preparation/node/preparationCoordinator.ts
@@ -285,14 +285,14 @@
     const { registry, protocol, guard, clock, log } = this._options
     const upstream = registry.get(call.upstreamId)
     const startedAt = clock.now()
-    const registryAge = registry.computeAge(startedAt)
+    const registryAge = registry.computeFreshness(startedAt)
     const outcome = upstream === undefined
       ? { kind: 'notRun' as const, reason: 'unreachable' as const }
       : await protocol.runPieces(upstream, call.pieces, { timeoutMs: call.timeoutMs, onWillSend: () => guard?.maySend(upstream.id, call.pieces[0]?.jobId ?? '') !== false })
     if (this._isDisposed) return
     if (outcome.kind !== 'answered') {
       log.info('piece_call_failed', { upstream: call.upstreamId, pieces: call.pieces.length, outcome: outcome.kind, reason: outcome.reason, took_ms: Math.round(clock.now() - startedAt) })
-      if (outcome.kind === 'notRun' && outcome.reason === 'otherUpstream') registry.dropForGood(call.upstreamId, 'address answers as another')
+      if (outcome.kind === 'notRun' && outcome.reason === 'otherUpstream') registry.removePermanently(call.upstreamId, 'address answers as another')
     }
     this._planLog.recordCall(call, { outcome, tookMs: clock.now() - startedAt, registryAge })
     shard.planner.completeCall(call.id, outcome, clock.now())
@@ -361,6 +361,6 @@
       hall: entry.hall,
       work: { concurrentCalls, maxPiecesPerCall, callMs, pieceMs, resultRoomBytes, resultLifetimeMs }
     })
-    shard.planner.setAcceptsWork(entry.id, this._options.registry.mayUse(entry))
+    shard.planner.setAcceptsWork(entry.id, this._options.registry.isAvailable(entry))
   }
 }
--- a/src/services/preparation/test/busyHall.test.ts
+++ b/src/services/preparation/test/busyHall.test.ts
@@ -84,7 +84,7 @@
     isMembershipKnown: () => true,
     onDidReceiveMembers: new Emitter<void>().event,
     listCoordinators: () => [{ address, hall: 'x', incarnation: 1, weight: 100 }],
-    listPieceUpstreams: () => registry.listRole('a')
+    listPieceUpstreams: () => registry.listAvailable('a')
   })
   for (const { hall, atMs } of evacuations) clock.schedule(atMs, () => { registry.setEvacuated(hall, true) })
   const outcomes = { inTime: 0, late: 0, refused: 0 }
--- a/src/services/quarantine/common/crashEvidence.ts
+++ b/src/services/quarantine/common/crashEvidence.ts
@@ -19,12 +19,12 @@
 }
 
 /** Crashes after which a request is no longer sent. Each further crash would lose every run in flight at that upstream. */
-export const MAX_ENDS = 3
+export const MAX_CRASHES = 3
 /**
  * The limit for a request that was answered after an earlier crash. Either other requests caused those crashes, or the
  * upstreams' software has changed since; the latter is rare and costs three more upstreams.
  */
-const MAX_CRASHES_IF_SERVED = 2 * MAX_ENDS
+const MAX_CRASHES_IF_SERVED = 2 * MAX_CRASHES
 /** Times received from other nodes are rounded to milliseconds and delayed by the network. */
 const CLOCK_TOLERANCE_MS = 5
 /** With this many crashes a request is considered the cause even if another request was in flight at all of them. */
@@ -77,7 +77,7 @@
     const isSuspect = (digest: string) => !crashingDigests.has(digest) && !served.has(digest)
     const isServed = (digest: string) => !crashingDigests.has(digest) && served.has(digest)
     const analysis = { crashingDigests, explainedUpstreams }
-    const next = findLikeliestCause(evidence, analysis, { isCandidate: isSuspect, minCrashes: MAX_ENDS }) ?? findLikeliestCause(evidence, analysis, { isCandidate: isServed, minCrashes: MAX_CRASHES_IF_SERVED })
+    const next = findLikeliestCause(evidence, analysis, { isCandidate: isSuspect, minCrashes: MAX_CRASHES }) ?? findLikeliestCause(evidence, analysis, { isCandidate: isServed, minCrashes: MAX_CRASHES_IF_SERVED })
     if (next === undefined) return { crashingDigests, explainedUpstreams }
     crashingDigests.add(next)
     for (const run of evidence.get(next) ?? []) explainedUpstreams.add(run.upstream)
--- a/src/services/quarantine/common/quarantine.ts
+++ b/src/services/quarantine/common/quarantine.ts
@@ -2,7 +2,7 @@
  * The quarantine as used by the relay: checked before a request is sent, and updated after an upstream crashed while running
  * a request.
  */
-import type { CrashRecord } from './quarantineBook.ts'
+import type { CrashRecord } from './quarantineTracker.ts'
 
 /** A run whose connection was closed before its answer was complete. */
 export interface LostRun {
@@ -17,17 +17,17 @@
 }
 
 /** A request whose digest is computed on demand, because hashing the body is expensive and rarely needed. */
-export interface ISuspect {
+export interface IRequestDigest {
   readonly bodyBytes: number
   getDigest (): string
 }
 
 export interface IQuarantineService {
-  judge (requestDigest: ISuspect): CrashRecord
+  getCrashRecord (requestDigest: IRequestDigest): CrashRecord
   /** Resolves to whether the upstream is known to have crashed, within the time of one connection attempt to it. */
-  noteLost (run: LostRun): Promise<boolean>
+  recordLostRun (run: LostRun): Promise<boolean>
   /** Counts a refused request and logs the evidence for it. */
-  reportRefusal (requestId: string, requestDigest: ISuspect, record: CrashRecord): void
+  reportRefusal (requestId: string, requestDigest: IRequestDigest, record: CrashRecord): void
   /** An upstream answered the request completely, so the request does not crash upstreams. */
-  noteServed (requestDigest: ISuspect): void
+  recordServed (requestDigest: IRequestDigest): void
 }
--- a/src/services/quarantine/common/quarantineBook.ts
+++ b/src/services/quarantine/common/quarantineTracker.ts
@@ -8,7 +8,7 @@
 /** The crashes counted against one request. */
 export interface CrashRecord {
   /** Successive crashes while the request was in flight that are not attributed to another request. */
-  readonly ends: number
+  readonly crashCount: number
   /** Whether the request is no longer sent. */
   readonly isQuarantined: boolean
   readonly upstreams: readonly string[]
@@ -16,7 +16,7 @@
   readonly lastCrashAt: number
 }
 
-export const NO_STANDING: CrashRecord = { ends: 0, isQuarantined: false, upstreams: [], lastCrashAt: -Infinity }
+export const NO_CRASHES: CrashRecord = { crashCount: 0, isQuarantined: false, upstreams: [], lastCrashAt: -Infinity }
 
 /** A quarantined request, as listed for operators. */
 export interface QuarantinedRequest extends CrashRecord {
@@ -69,12 +69,12 @@
 
   getCrashRecord (digest: string): CrashRecord {
     const runs = this._runs.get(digest)
-    if (runs === undefined) return NO_STANDING
+    if (runs === undefined) return NO_CRASHES
     const { crashingDigests, explainedUpstreams } = this._getAnalysis()
     const isQuarantined = crashingDigests.has(digest)
     const countedRuns = isQuarantined ? runs : listUnexplainedRuns(runs, explainedUpstreams)
     return {
-      ends: countSeparateCrashes(countedRuns),
+      crashCount: countSeparateCrashes(countedRuns),
       isQuarantined,
       upstreams: countedRuns.map(run => run.upstream),
       lastCrashAt: Math.max(-Infinity, ...countedRuns.map(run => run.endedAt))
--- a/src/services/quarantine/node/quarantineHandler.ts
+++ b/src/services/quarantine/node/quarantineHandler.ts
@@ -20,5 +20,5 @@
 }
 
 function listRequests (quarantine: QuarantineService, now: number): readonly object[] {
-  return quarantine.listQuarantined().map(({ digest, ends, upstreams, lastCrashAt }) => ({ digest, ends, upstreams, last_end_age_ms: Math.round(now - lastCrashAt) }))
+  return quarantine.listQuarantined().map(({ digest, crashCount: ends, upstreams, lastCrashAt }) => ({ digest, ends, upstreams, last_end_age_ms: Math.round(now - lastCrashAt) }))
 }
--- a/src/services/quarantine/node/quarantineService.ts
+++ b/src/services/quarantine/node/quarantineService.ts
@@ -11,9 +11,9 @@
 import type { FactStore, HeldFact } from '../../facts/common/factStore.ts'
 import type { ILogService } from '../../log/node/logger.ts'
 import type { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
-import type { IQuarantineService, ISuspect, LostRun } from '../common/quarantine.ts'
-import { NO_STANDING, QuarantineTracker } from '../common/quarantineBook.ts'
-import type { CrashRecord, QuarantinedRequest } from '../common/quarantineBook.ts'
+import type { IQuarantineService, IRequestDigest, LostRun } from '../common/quarantine.ts'
+import { NO_CRASHES, QuarantineTracker } from '../common/quarantineTracker.ts'
+import type { CrashRecord, QuarantinedRequest } from '../common/quarantineTracker.ts'
 import { probeUpstream } from './upstreamProbe.ts'
 import type { ProbeResult } from './upstreamProbe.ts'
 
@@ -76,11 +76,11 @@
     return this._endedAtByUpstream.has(upstream)
   }
 
-  judge (requestDigest: ISuspect): CrashRecord {
-    return this._tracker.hasBodySize(requestDigest.bodyBytes) ? this._tracker.getCrashRecord(requestDigest.getDigest()) : NO_STANDING
+  getCrashRecord (requestDigest: IRequestDigest): CrashRecord {
+    return this._tracker.hasBodySize(requestDigest.bodyBytes) ? this._tracker.getCrashRecord(requestDigest.getDigest()) : NO_CRASHES
   }
 
-  async noteLost (run: LostRun): Promise<boolean> {
+  async recordLostRun (run: LostRun): Promise<boolean> {
     const entry = this._options.registry.get(run.upstream)
     // An upstream that leaves as planned may stop with runs in flight.
     if (entry === undefined || entry.isLeaving) return false
@@ -91,12 +91,12 @@
     return isEnded
   }
 
-  noteServed (requestDigest: ISuspect): void {
+  recordServed (requestDigest: IRequestDigest): void {
     const digest = this._tracker.hasBodySize(requestDigest.bodyBytes) ? requestDigest.getDigest() : undefined
     if (digest !== undefined && this._tracker.getCrashRecord(digest).upstreams.length > 0) this.clear(digest, 'served')
   }
 
-  reportRefusal (requestId: string, requestDigest: ISuspect, { ends, upstreams, lastCrashAt }: CrashRecord): void {
+  reportRefusal (requestId: string, requestDigest: IRequestDigest, { crashCount: ends, upstreams, lastCrashAt }: CrashRecord): void {
     this._refusedCount++
     const evidenceAgeMs = Math.round(this._options.clock.now() - lastCrashAt)
     this._options.log.warn('request_quarantined', { request: requestId, digest: requestDigest.getDigest(), ends, upstreams: upstreams.join(), evidence_age_ms: evidenceAgeMs })
@@ -184,7 +184,7 @@
 
   private _logQuarantined (): void {
     const requests = this._tracker.listQuarantined()
-    for (const { digest, ends, upstreams } of requests) {
+    for (const { digest, crashCount: ends, upstreams } of requests) {
       if (!this._loggedDigests.has(digest)) this._options.log.warn('quarantine_began', { digest, ends, upstreams: upstreams.join() })
     }
     this._loggedDigests = new Set(requests.map(request => request.digest))
--- a/src/services/quarantine/test/quarantineService.test.ts
+++ b/src/services/quarantine/test/quarantineService.test.ts
@@ -38,7 +38,7 @@
     registry.update({ id: upstream, role: 'u', address: 'h:1', hall: '', slots: 1, isLeaving }, 'test')
     const sentAt = this.clock.now()
     this.clock.advance(50)
-    const isEnded = await service.noteLost({ digest: 'g', bodyBytes: 9, upstream, address: 'h:1', sentAt, endedAt: this.clock.now() })
+    const isEnded = await service.recordLostRun({ digest: 'g', bodyBytes: 9, upstream, address: 'h:1', sentAt, endedAt: this.clock.now() })
     this.clock.advance(50)
     return isEnded
   }
@@ -69,11 +69,11 @@
   await fleet.killUpstream(0, 'u1')
   await fleet.killUpstream(1, 'u2')
   await fleet.killUpstream(0, 'u3')
-  assert.not(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
+  assert.not(fleet.getNode(0).service.getCrashRecord(REQUEST_DIGEST).isQuarantined)
   fleet.sendFacts(0)
   fleet.sendFacts(1)
   for (const { service } of fleet.nodes) {
-    const record = service.judge(REQUEST_DIGEST)
+    const record = service.getCrashRecord(REQUEST_DIGEST)
     assert.ok(record.isQuarantined)
     assert.equal([...record.upstreams].sort(), ['u1', 'u2', 'u3'])
     assert.ok(service.hasEnded('u2'))
@@ -86,37 +86,37 @@
   for (const upstream of ['u1', 'u2', 'u3']) await fleet.killUpstream(0, upstream)
   const { facts, service } = fleet.getNode(0)
   const ends = facts.listSince(0, '')
-  service.noteServed(REQUEST_DIGEST)
+  service.recordServed(REQUEST_DIGEST)
   for (const fact of [...ends, ...facts.listSince(facts.sequence - 1, '')]) fleet.getNode(1).facts.merge(fact, 'peer')
   await fleet.flush()
-  assert.not(fleet.getNode(1).service.judge(REQUEST_DIGEST).isQuarantined)
+  assert.not(fleet.getNode(1).service.getCrashRecord(REQUEST_DIGEST).isQuarantined)
   assert.is(fleet.lines.filter(line => line.includes('event=quarantine_began')).length, 1)
 }))
 
 test('an answer clears the evidence against a request at all nodes, and so does an operator', () => runFleet(async fleet => {
   for (const upstream of ['u1', 'u2', 'u3']) await fleet.killUpstream(0, upstream)
   fleet.sendFacts(0)
-  fleet.getNode(1).service.noteServed(REQUEST_DIGEST)
+  fleet.getNode(1).service.recordServed(REQUEST_DIGEST)
   fleet.sendFacts(1)
   // Old evidence that is received again has no effect.
   fleet.sendFacts(0)
-  for (const { service } of fleet.nodes) assert.is(service.judge(REQUEST_DIGEST).ends, 0)
+  for (const { service } of fleet.nodes) assert.is(service.getCrashRecord(REQUEST_DIGEST).crashCount, 0)
   for (const upstream of ['u4', 'u5', 'u6']) await fleet.killUpstream(0, upstream)
-  assert.not(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
+  assert.not(fleet.getNode(0).service.getCrashRecord(REQUEST_DIGEST).isQuarantined)
   fleet.clock.advance(2000)
   for (const upstream of ['u7', 'u8', 'u9']) await fleet.killUpstream(0, upstream)
-  assert.ok(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
+  assert.ok(fleet.getNode(0).service.getCrashRecord(REQUEST_DIGEST).isQuarantined)
   await fleet.flush()
   assert.is(fleet.lines.filter(line => line.includes('event=quarantine_began')).length, 2, 'once at one node, and again there')
   assert.ok(fleet.getNode(0).service.clear('g', 'operator'))
   assert.not(fleet.getNode(0).service.clear('other', 'operator'))
   fleet.sendFacts(0)
-  for (const { service } of fleet.nodes) assert.is(service.judge(REQUEST_DIGEST).ends, 0)
+  for (const { service } of fleet.nodes) assert.is(service.getCrashRecord(REQUEST_DIGEST).crashCount, 0)
 }))
 
 test('after an answer all nodes require more crashes, after an operator\'s clearing they do not', () => runFleet(async fleet => {
   const clearings = [
-    { clear: () => fleet.getNode(0).service.noteServed(REQUEST_DIGEST), isQuarantined: false },
+    { clear: () => fleet.getNode(0).service.recordServed(REQUEST_DIGEST), isQuarantined: false },
     { clear: () => fleet.getNode(0).service.clear('g', 'operator'), isQuarantined: true }
   ]
   let count = 0
@@ -128,7 +128,7 @@
     clear()
     await loseRuns()
     fleet.sendFacts(0)
-    for (const { service } of fleet.nodes) assert.is(service.judge(REQUEST_DIGEST).isQuarantined, isQuarantined)
+    for (const { service } of fleet.nodes) assert.is(service.getCrashRecord(REQUEST_DIGEST).isQuarantined, isQuarantined)
   }
 }))
 
@@ -137,19 +137,19 @@
   for (const upstream of ['u1', 'u2', 'u3']) assert.not(await fleet.killUpstream(0, upstream))
   fleet.probeResult = 'refused'
   for (const upstream of ['u4', 'u5', 'u6']) assert.not(await fleet.killUpstream(0, upstream, true))
-  assert.is(fleet.getNode(0).service.judge(REQUEST_DIGEST).ends, 0)
+  assert.is(fleet.getNode(0).service.getCrashRecord(REQUEST_DIGEST).crashCount, 0)
   // The same upstream may crash later.
   assert.ok(await fleet.killUpstream(0, 'u1'))
-  assert.is(fleet.getNode(0).service.judge(REQUEST_DIGEST).ends, 1)
+  assert.is(fleet.getNode(0).service.getCrashRecord(REQUEST_DIGEST).crashCount, 1)
 }))
 
 test('if an upstream\'s host does not answer, its removal from the list of upstreams counts as a crash', () => runFleet(async fleet => {
   fleet.probeResult = 'silent'
   for (const upstream of ['u1', 'u2', 'u3']) {
     assert.not(await fleet.killUpstream(0, upstream))
-    fleet.getNode(0).registry.drop(upstream, 'removed')
+    fleet.getNode(0).registry.remove(upstream, 'removed')
   }
-  assert.ok(fleet.getNode(0).service.judge(REQUEST_DIGEST).isQuarantined)
+  assert.ok(fleet.getNode(0).service.getCrashRecord(REQUEST_DIGEST).isQuarantined)
 }))
 
 test.run()
--- a/src/services/quarantine/test/quarantineBook.test.ts
+++ b/src/services/quarantine/test/quarantineTracker.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { EVIDENCE_RETENTION_MS, QuarantineTracker } from '../common/quarantineBook.ts'
+import { EVIDENCE_RETENTION_MS, QuarantineTracker } from '../common/quarantineTracker.ts'
 
 const test = suite('quarantineTracker')
 
@@ -18,20 +18,20 @@
 test('a crash reported by several nodes counts once', () => {
   const tracker = createTracker(3)
   createTracker(3, 'g', tracker)
-  assert.is(tracker.getCrashRecord('g').ends, 3)
+  assert.is(tracker.getCrashRecord('g').crashCount, 3)
   assert.ok(tracker.getCrashRecord('g').isQuarantined)
 })
 
 test('cleared evidence does not count, and later crashes do', () => {
   const tracker = createTracker(3)
   tracker.clear('g', 200)
-  assert.is(tracker.getCrashRecord('g').ends, 1)
+  assert.is(tracker.getCrashRecord('g').crashCount, 1)
   // A peer that has not received the clearing reports the old crashes again.
   createTracker(2, 'g', tracker)
-  assert.is(tracker.getCrashRecord('g').ends, 1)
+  assert.is(tracker.getCrashRecord('g').crashCount, 1)
   // The clearing may arrive before the evidence that it clears.
   tracker.clear('other', 200)
-  assert.is(createTracker(3, 'other', tracker).getCrashRecord('other').ends, 1)
+  assert.is(createTracker(3, 'other', tracker).getCrashRecord('other').crashCount, 1)
 })
 
 test('evidence expires some time after the last crash', () => {
@@ -47,7 +47,7 @@
   for (let index = 0; index < 5000; index++) createTracker(1, `flood${index}-`, tracker)
   assert.ok(tracker.getCrashRecord('g').isQuarantined)
   assert.equal(tracker.listQuarantined().map(request => request.digest), ['g'])
-  assert.is(tracker.getCrashRecord('flood0-').ends, 0)
+  assert.is(tracker.getCrashRecord('flood0-').crashCount, 0)
 })
 
 test.run()
--- a/src/services/relay/common/relayPool.ts
+++ b/src/services/relay/common/relayPool.ts
@@ -87,7 +87,7 @@
   /** Returns the upstream that a preparation plan chose, or undefined if this node knows that it is not usable. */
   confirm (id: string, tried: ReadonlySet<string>, homeHalls?: readonly string[]): UpstreamEntry | undefined {
     const entry = this._options.registry.get(id)
-    if (entry === undefined || !this._options.registry.mayUse(entry) || tried.has(id) || this._isBackingOff(id) || homeHalls?.includes(entry.hall) === false) return undefined
+    if (entry === undefined || !this._options.registry.isAvailable(entry) || tried.has(id) || this._isBackingOff(id) || homeHalls?.includes(entry.hall) === false) return undefined
     return this._getUsage(id).health.getState(this._options.clock.now()) === 'ejected' ? undefined : entry
   }
 
@@ -105,7 +105,7 @@
 
   /** All upstreams that may serve the request, those at their limits or in backoff included. */
   listEligible (role: string, homeHalls?: readonly string[]): readonly UpstreamEntry[] {
-    const listed = this._options.registry.listRole(role)
+    const listed = this._options.registry.listAvailable(role)
     return homeHalls === undefined ? listed : listed.filter(({ hall }) => homeHalls.includes(hall))
   }
 
--- a/src/services/relay/node/relayAttempt.ts
+++ b/src/services/relay/node/relayAttempt.ts
@@ -3,7 +3,7 @@
  */
 import type { Agent, IncomingMessage } from 'node:http'
 import type { IClock } from '../../../base/common/clock.ts'
-import { dropIdleConnections, startExchange } from '../../upstream/node/httpExchange.ts'
+import { closeIdleConnections, startExchange } from '../../upstream/node/httpExchange.ts'
 import type { ExchangeStart, IExchange } from '../../upstream/node/httpExchange.ts'
 import type { UpstreamStatement } from '../../upstream/common/upstreamStatement.ts'
 import type { AttemptOutcome } from '../common/attemptDecision.ts'
@@ -111,7 +111,7 @@
       return { outcome: { kind: 'notRun', reason: verdict.reason } }
     }
     // The upstream answered before it read the whole request; closing stops sending the rest.
-    if (!exchange.wasWritten) response.once('end', () => exchange.cancel())
+    if (!exchange.wasRequestWritten) response.once('end', () => exchange.cancel())
     if (verdict.isSuccess && this._options.isStream) return { outcome: await this._forwardStream(response, exchange, verdict) }
     return await this._forwardAnswer(response, exchange, verdict)
   }
@@ -120,7 +120,7 @@
   private _drainResponse (response: IncomingMessage, exchange: IExchange): void {
     const timer = this._options.clock.schedule(1000, () => exchange.cancel())
     response.once('close', () => timer.dispose())
-    if (exchange.wasWritten) response.resume()
+    if (exchange.wasRequestWritten) response.resume()
     else exchange.cancel()
   }
 
@@ -206,7 +206,7 @@
     this._timer?.dispose()
     this._timer = this._options.clock.schedule(Math.min(timeoutMs, MAX_TIMER_MS), () => {
       this._hasTimedOut = true
-      dropIdleConnections(this._options.agent, this._options.call.upstream.address)
+      closeIdleConnections(this._options.agent, this._options.call.upstream.address)
       onTimeout()
     })
   }
@@ -218,5 +218,5 @@
 
 /** A body that is delimited by the end of its connection is complete only if the connection was closed, not reset. */
 function isComplete (response: IncomingMessage, exchange: IExchange): boolean {
-  return response.complete && (isFramed(response) || !exchange.hasFailed)
+  return response.complete && (isFramed(response) || !exchange.hasConnectionFailed)
 }
--- a/src/services/relay/node/relayContext.ts
+++ b/src/services/relay/node/relayContext.ts
@@ -14,7 +14,7 @@
 import type { RetryPolicy } from '../../retry/common/retryPolicy.ts'
 import type { SendGuard } from '../../upstream/node/sendGuard.ts'
 import type { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
-import type { StatedByUpstream } from '../../upstream/common/upstreamStatement.ts'
+import type { StatementBatch } from '../../upstream/common/upstreamStatement.ts'
 import type { RelayRefusal, UpstreamProtocol } from '../common/relayProtocol.ts'
 import type { RelayPool } from '../common/relayPool.ts'
 import type { CallerAnswer } from './callerAnswer.ts'
@@ -34,7 +34,7 @@
   readonly guard: SendGuard
   readonly backoffs: IBackoffService
   readonly retry: RetryPolicy
-  readonly recordStatements: (stated: StatedByUpstream) => void
+  readonly recordStatements: (stated: StatementBatch) => void
   readonly quota: IQuotaService
   readonly preparation: IPreparationService
   readonly releaseDelay: ReleaseDelay
--- a/src/services/relay/node/relayRun.ts
+++ b/src/services/relay/node/relayRun.ts
@@ -6,8 +6,8 @@
 import { RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 import type { ResultName } from '../../result/common/resultCodes.ts'
-import { NO_STANDING } from '../../quarantine/common/quarantineBook.ts'
-import type { PictureAge, UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
+import { NO_CRASHES } from '../../quarantine/common/quarantineTracker.ts'
+import type { RegistryFreshness, UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { LostPieces } from '../../preparation/common/preparationService.ts'
 import type { JobRefusal } from '../../preparation/common/preparationJob.ts'
 import { computeResponseTimeoutMs, computePauseTimeoutMs } from '../common/attemptTimeouts.ts'
@@ -35,7 +35,7 @@
   readonly producedMs: number
   readonly lastUpstream: string
   /** Revision and age of the list of upstreams when the last attempt was sent. */
-  readonly known: PictureAge
+  readonly known: RegistryFreshness
 }
 
 /** Time reserved before the deadline for sending the answer back to the caller. */
@@ -54,13 +54,13 @@
   private _isStopping = false
   private _producedMs = 0
   private _lastUpstream = ''
-  private _registryAge: PictureAge
+  private _registryAge: RegistryFreshness
   /** When the current attempt was sent, and when its first output arrived; Infinity before that. */
   private _sentAt = 0
   private _firstOutputAt = Infinity
   /** Upstreams that crashed during attempts of this run. */
   private _crashCount = 0
-  private _quarantineState = NO_STANDING
+  private _quarantineState = NO_CRASHES
   private readonly _fingerprint: RequestFingerprint
   private readonly _inputs: RequestInputs
   /** Resolves once each upstream that was lost while computing the request's pieces is known to have crashed or not. */
@@ -84,7 +84,7 @@
     })
     this._role = pickTarget(route.targets, _context.random)
     this._selector = new UpstreamSelector({ context: _context, accepted: _accepted, role: this._role, inputs: this._inputs, tried: this._triedUpstreams, signal: this._abortController.signal })
-    this._registryAge = _context.registry.computeAge(arrivedAt)
+    this._registryAge = _context.registry.computeFreshness(arrivedAt)
   }
 
   /** Resolves once the caller has its answer or has disconnected. */
@@ -123,7 +123,7 @@
         const preparationRefusal = await this._prepareAgain()
         if (preparationRefusal !== undefined) return preparationRefusal
       }
-      const upstream = await this._selector.acquire({ suspectKey: this._quarantineState.ends > 0 ? this._fingerprint.getDigest() : undefined, timeLeftMs: this._getTimeLeft() - MIN_ATTEMPT_MS })
+      const upstream = await this._selector.acquire({ suspectKey: this._quarantineState.crashCount > 0 ? this._fingerprint.getDigest() : undefined, timeLeftMs: this._getTimeLeft() - MIN_ATTEMPT_MS })
       if (upstream === undefined) return this._refuseWithoutUpstream()
       const result = await this._tryUpstream(upstream)
       await this._recordAttemptEnd(upstream, result)
@@ -145,7 +145,7 @@
 
   private async _prepare (): Promise<ResultName | undefined> {
     const { request, route } = this._accepted
-    const isSuspect = this._quarantineState.ends > 0
+    const isSuspect = this._quarantineState.crashCount > 0
     // Prepared results would be discarded: no upstream accepts the request in time.
     if (!this._selector.canPrepare(Math.max(0, this._getTimeLeft() - MIN_ATTEMPT_MS))) return this._refuseWithoutUpstream()
     const job = createPreparationJob({ request, route, role: this._role, priority: this._accepted.priority, homeHalls: this._accepted.homeHalls, excludedTargets: this._selector.listBackingOff().map(({ id }) => id), deadlineInMs: this._getTimeLeft(), isSuspect })
@@ -169,7 +169,7 @@
     const upstream = registry.get(upstreamId)
     if (upstream === undefined) return
     const hasCrashed = await this._recordLostConnection(upstream, sentAt, endedAt)
-    log.info('pieces_lost', { request: this._accepted.request.id, upstream: upstreamId, digest: this._fingerprint.getDigest(), ended: hasCrashed, ends: this._quarantineState.ends })
+    log.info('pieces_lost', { request: this._accepted.request.id, upstream: upstreamId, digest: this._fingerprint.getDigest(), ended: hasCrashed, ends: this._quarantineState.crashCount })
     if (this._quarantineState.isQuarantined) this._preparationAbort.abort()
   }
 
@@ -180,11 +180,11 @@
     this._sendCount++
     this._lastUpstream = upstream.id
     this._triedUpstreams.add(upstream.id)
-    const inFlightRequest = context.pool.begin(upstream, { prompt: request.prompt, isSuspect: this._quarantineState.ends > 0 })
+    const inFlightRequest = context.pool.begin(upstream, { prompt: request.prompt, isSuspect: this._quarantineState.crashCount > 0 })
     const timeLeftMs = this._getTimeLeft()
     this._sentAt = context.clock.now()
     this._firstOutputAt = Infinity
-    this._registryAge = context.registry.computeAge(this._sentAt)
+    this._registryAge = context.registry.computeFreshness(this._sentAt)
     let scheduledRelease: IDisposable | undefined
     let writtenAt: number | undefined
     this._isAttemptActive = true
@@ -249,25 +249,25 @@
   private async _recordAttemptEnd (upstream: UpstreamEntry, { outcome, hasTimedOut = false }: AttemptResult): Promise<void> {
     const { clock, quarantine } = this._context
     const endedAt = clock.now()
-    if (outcome.kind === 'delivered') return quarantine.noteServed(this._fingerprint)
+    if (outcome.kind === 'delivered') return quarantine.recordServed(this._fingerprint)
     if (!isConnectionLost(outcome) || hasTimedOut || endedAt - this._firstOutputAt > CRASH_ATTRIBUTION_MS) return
     if (await this._recordLostConnection(upstream, this._sentAt, endedAt)) this._crashCount++
   }
 
   private async _recordLostConnection (upstream: UpstreamEntry, sentAt: number, endedAt: number): Promise<boolean> {
     const { quarantine } = this._context
-    const hasCrashed = await quarantine.noteLost({ digest: this._fingerprint.getDigest(), bodyBytes: this._fingerprint.bodyBytes, upstream: upstream.id, address: upstream.address, sentAt, endedAt })
-    this._quarantineState = quarantine.judge(this._fingerprint)
+    const hasCrashed = await quarantine.recordLostRun({ digest: this._fingerprint.getDigest(), bodyBytes: this._fingerprint.bodyBytes, upstream: upstream.id, address: upstream.address, sentAt, endedAt })
+    this._quarantineState = quarantine.getCrashRecord(this._fingerprint)
     return hasCrashed
   }
 
   /** Refuses a request that has crashed too many upstreams; all nodes share the quarantine. */
   private _refuseQuarantined (): ResultName | undefined {
     const { quarantine } = this._context
-    this._quarantineState = quarantine.judge(this._fingerprint)
+    this._quarantineState = quarantine.getCrashRecord(this._fingerprint)
     if (!this._quarantineState.isQuarantined) return undefined
     quarantine.reportRefusal(this._accepted.request.id, this._fingerprint, this._quarantineState)
-    return this._refuse('requestQuarantined', `${this._quarantineState.ends} upstreams crashed while running this request`, this._runCount === 0)
+    return this._refuse('requestQuarantined', `${this._quarantineState.crashCount} upstreams crashed while running this request`, this._runCount === 0)
   }
 
   /** Nothing was written, so the attempt does not count as sent. */
@@ -279,7 +279,7 @@
   private _decide (outcome: AttemptOutcome, upstream: UpstreamEntry): AttemptDecision {
     const { route } = this._accepted
     if (outcome.kind !== 'notRun') this._runCount++
-    if (outcome.kind === 'notRun' && outcome.reason === 'otherUpstream') this._context.registry.dropForGood(upstream.id, 'address answers as another')
+    if (outcome.kind === 'notRun' && outcome.reason === 'otherUpstream') this._context.registry.removePermanently(upstream.id, 'address answers as another')
     return decideAfterAttempt({
       outcome,
       isRepeatable: isRepeatable(route),
@@ -287,7 +287,7 @@
       runCount: this._runCount,
       sendCount: this._sendCount,
       // The quarantine's count includes crashes of this run, except those that were not reported to it.
-      crashCount: Math.max(this._quarantineState.ends, this._crashCount),
+      crashCount: Math.max(this._quarantineState.crashCount, this._crashCount),
       maxAttempts: route.maxAttempts,
       timeLeftMs: this._getTimeLeft(),
       minTimeMs: MIN_ATTEMPT_MS
--- a/src/services/relay/node/requestFingerprint.ts
+++ b/src/services/relay/node/requestFingerprint.ts
@@ -3,9 +3,9 @@
  */
 import { digestRequest } from '../../quarantine/node/requestDigest.ts'
 import type { RequestIdentity } from '../../quarantine/node/requestDigest.ts'
-import type { ISuspect } from '../../quarantine/common/quarantine.ts'
+import type { IRequestDigest } from '../../quarantine/common/quarantine.ts'
 
-export class RequestFingerprint implements ISuspect {
+export class RequestFingerprint implements IRequestDigest {
   readonly bodyBytes: number
   private _digest: string | undefined
 
--- a/src/services/relay/test/coldUpstreams.test.ts
+++ b/src/services/relay/test/coldUpstreams.test.ts
@@ -8,7 +8,7 @@
 import { TargetPlanner } from '../../preparation/common/targetPlanner.ts'
 import { ColdLimits } from '../../quota/common/limitSource.ts'
 import { QuotaOwner } from '../../quota/common/quotaOwner.ts'
-import { TrustingTracker } from '../../health/common/healthTracker.ts'
+import { AlwaysHealthyTracker } from '../../health/common/healthTracker.ts'
 import { RelayPool } from '../common/relayPool.ts'
 import { AffinityRouter } from '../common/relayRouter.ts'
 import { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
@@ -50,7 +50,7 @@
   const counts = new Map<string, number>()
   let refused = 0
   for (let node = 0; node < 200; node++) {
-    const pool = new RelayPool({ clock, registry: createRegistry(), router: new AffinityRouter({ random: new SeededRandom(node) }), createHealth: () => new TrustingTracker(), countNodes: () => 200, hasTerminated: () => false })
+    const pool = new RelayPool({ clock, registry: createRegistry(), router: new AffinityRouter({ random: new SeededRandom(node) }), createHealth: () => new AlwaysHealthyTracker(), countNodes: () => 200, hasTerminated: () => false })
     for (let count = 0; count < 2; count++) {
       const excluded = new Set<string>()
       let upstream = pool.choose({ role: 'model', prompt: PROMPT, hall: 'x', tried: new Set(), excluded })
--- a/src/services/relay/test/crashingPreparation.test.ts
+++ b/src/services/relay/test/crashingPreparation.test.ts
@@ -71,7 +71,7 @@
     this.crashes.push(id)
     this._upstreams.get(id)?.stop()
     void this.addUpstream()
-    setTimeout(() => this._harness.registry.drop(id, 'test'), LIST_DELAY_MS)
+    setTimeout(() => this._harness.registry.remove(id, 'test'), LIST_DELAY_MS)
   }
 }
 
--- a/src/services/relay/test/crashingRequest.test.ts
+++ b/src/services/relay/test/crashingRequest.test.ts
@@ -48,7 +48,7 @@
     upstream.stop()
     void this._addUpstream()
     // The list of upstreams is updated with a delay.
-    setTimeout(() => this.harness.registry.drop(upstreamId, 'test'), RUN_MS * 5)
+    setTimeout(() => this.harness.registry.remove(upstreamId, 'test'), RUN_MS * 5)
   }
 }
 
--- a/src/services/relay/test/fakes.ts
+++ b/src/services/relay/test/fakes.ts
@@ -15,7 +15,7 @@
 import { RelaySchema, RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { RouteSchema } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { FactStore } from '../../facts/common/factStore.ts'
-import { TrustingTracker } from '../../health/common/healthTracker.ts'
+import { AlwaysHealthyTracker } from '../../health/common/healthTracker.ts'
 import { HallRegions } from '../../locate/common/hallRegions.ts'
 import { LogService } from '../../log/node/logger.ts'
 import type { IPreparationService } from '../../preparation/common/preparationService.ts'
@@ -213,7 +213,7 @@
         agent,
         upstreamProtocol: _options.protocols?.upstream ?? new FakeUpstreamProtocol(),
         registry: this.registry,
-        pool: new RelayPool({ clock, registry: this.registry, router: new RoundRobinRouter(), createHealth: () => new TrustingTracker(), countNodes: () => 1, hasTerminated: id => quarantine.hasEnded(id), quota, backoffs }),
+        pool: new RelayPool({ clock, registry: this.registry, router: new RoundRobinRouter(), createHealth: () => new AlwaysHealthyTracker(), countNodes: () => 1, hasTerminated: id => quarantine.hasEnded(id), quota, backoffs }),
         guard,
         backoffs,
         recordStatements: stated => statements.note(stated),
--- a/src/services/relay/test/homeRegions.test.ts
+++ b/src/services/relay/test/homeRegions.test.ts
@@ -50,7 +50,7 @@
 
 test('a request is refused and not sent if all upstreams in its home regions are gone', async () => {
   const counts = await countByHall({ route: { homeRegions: ['north'] } }, async harness => {
-    harness.registry.drop('u0', 'test')
+    harness.registry.remove('u0', 'test')
     assert.match((await harness.call('a')).text, /^HTTP\/1\.1 503/)
   })
   assert.equal(counts, [0, 0, 0])
--- a/src/services/relay/test/relayPool.test.ts
+++ b/src/services/relay/test/relayPool.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { VirtualClock } from '../../../base/common/clock.ts'
-import { TrustingTracker } from '../../health/common/healthTracker.ts'
+import { AlwaysHealthyTracker } from '../../health/common/healthTracker.ts'
 import { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import { RelayPool } from '../common/relayPool.ts'
 import { RoundRobinRouter } from '../common/relayRouter.ts'
@@ -11,7 +11,7 @@
 function createPool (ended: ReadonlySet<string> = new Set()): RelayPool {
   const registry = new UpstreamRegistry()
   for (const id of ['a', 'b', 'c', 'd']) registry.update({ id, role: 'u', address: 'h:1', hall: '', slots: 4, isLeaving: false }, 'test')
-  return new RelayPool({ clock: new VirtualClock(), registry, router: new RoundRobinRouter(), createHealth: () => new TrustingTracker(), countNodes: () => 1, hasTerminated: id => ended.has(id) })
+  return new RelayPool({ clock: new VirtualClock(), registry, router: new RoundRobinRouter(), createHealth: () => new AlwaysHealthyTracker(), countNodes: () => 1, hasTerminated: id => ended.has(id) })
 }
 
 /** Places a suspect at an upstream, where it stays in flight; returns the upstream's id. */
--- a/src/services/upstream/common/upstreamRegistry.ts
+++ b/src/services/upstream/common/upstreamRegistry.ts
@@ -30,7 +30,7 @@
 }
 
 /** How current the entries are. Logged, to explain requests that were sent to an unsuitable upstream. */
-export interface PictureAge {
+export interface RegistryFreshness {
   /** The source's revision up to which all changes have been applied. */
   readonly revision: number
   /** Milliseconds since the source last confirmed that revision; Infinity before the first confirmation. */
@@ -67,17 +67,17 @@
   }
 
   /** The upstreams of a role that accept new work. */
-  listRole (role: string): readonly UpstreamEntry[] {
+  listAvailable (role: string): readonly UpstreamEntry[] {
     let roleEntries = this._byRole.get(role)
     if (roleEntries === undefined) {
-      roleEntries = this.list().filter(entry => entry.role === role && this.mayUse(entry))
+      roleEntries = this.list().filter(entry => entry.role === role && this.isAvailable(entry))
       this._byRole.set(role, roleEntries)
     }
     return roleEntries
   }
 
   /** Whether new work may be sent to the upstream. */
-  mayUse ({ hall, isLeaving }: UpstreamEntry): boolean {
+  isAvailable ({ hall, isLeaving }: UpstreamEntry): boolean {
     return !isLeaving && !this._evacuatedHalls.has(hall)
   }
 
@@ -85,7 +85,7 @@
     return this._evacuatedHalls.has(hall)
   }
 
-  listEvacuated (): readonly string[] {
+  listEvacuatedHalls (): readonly string[] {
     return [...this._evacuatedHalls]
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** Removes an entry until its source lists it again. */
-  drop (id: string, signal: string): void {
+  remove (id: string, signal: string): void {
     const existing = this._entries.get(id)
     if (existing === undefined) return
     this._entries.delete(id)
@@ -136,18 +136,18 @@
   }
 
   /** Removes an entry permanently, because the instance is known to have ended. */
-  dropForGood (id: string, signal: string): void {
+  removePermanently (id: string, signal: string): void {
     this._removedIds.add(id)
-    this.drop(id, signal)
+    this.remove(id, signal)
   }
 
   /** Records that the source confirmed this revision: all changes up to it have been applied, and there are no later ones. */
-  confirm (revision: number, now: number): void {
+  confirmRevision (revision: number, now: number): void {
     this._confirmedRevision = revision
     this._confirmedAt = now
   }
 
-  computeAge (now: number): PictureAge {
+  computeFreshness (now: number): RegistryFreshness {
     return { revision: this._confirmedRevision, ageMs: now - this._confirmedAt }
   }
 
--- a/src/services/upstream/common/upstreamSource.ts
+++ b/src/services/upstream/common/upstreamSource.ts
@@ -13,7 +13,7 @@
 }
 
 /** A change reported by a source. */
-export type UpstreamNews =
+export type UpstreamUpdate =
   /** All upstreams and evacuations of the source; those not included no longer exist. */
   | { readonly kind: 'listed', readonly entries: readonly UpstreamEntry[], readonly evacuations: readonly Evacuation[], readonly revision: number }
   | { readonly kind: 'updated', readonly entry: UpstreamEntry }
@@ -22,7 +22,7 @@
   | { readonly kind: 'readmitted', readonly evacuation: Evacuation }
 
 export abstract class UpstreamSource extends Disposable {
-  private readonly _onDidRead = this._register(new Emitter<UpstreamNews>())
+  private readonly _onDidRead = this._register(new Emitter<UpstreamUpdate>())
   readonly onDidRead = this._onDidRead.event
   private readonly _onDidConfirm = this._register(new Emitter<number>())
   /** Fired when all changes up to this revision of the source have been published. */
@@ -32,7 +32,7 @@
   abstract get isCurrent (): boolean
 
   /** Requests the complete list again immediately. */
-  abstract listAgain (): void
+  abstract refreshList (): void
 
   /** Starts following the source, until disposed. */
   abstract start (): void
@@ -41,7 +41,7 @@
     this._onDidConfirm.fire(revision)
   }
 
-  protected _publish (update: UpstreamNews): void {
+  protected _publish (update: UpstreamUpdate): void {
     this._onDidRead.fire(update)
   }
 }
--- a/src/services/upstream/common/upstreamStatement.ts
+++ b/src/services/upstream/common/upstreamStatement.ts
@@ -17,7 +17,7 @@
 type StatementOf<Kind extends StatementKind> = Extract<UpstreamStatement, { readonly kind: Kind }>
 
 /** The statements of one answer, and the id of the upstream instance that sent it. */
-export interface StatedByUpstream {
+export interface StatementBatch {
   readonly upstream: string
   readonly statements: readonly UpstreamStatement[]
 }
@@ -26,7 +26,7 @@
 export type StatementReceivers = { readonly [Kind in StatementKind]: (upstream: string, statement: StatementOf<Kind>) => void }
 
 /** Calls the receiver of its kind for each statement. */
-export function dispatchStatements ({ upstream, statements }: StatedByUpstream, receivers: StatementReceivers): void {
+export function dispatchStatements ({ upstream, statements }: StatementBatch, receivers: StatementReceivers): void {
   for (const statement of statements) dispatchStatement(upstream, statement, receivers)
 }
 
--- a/src/services/upstream/node/httpExchange.ts
+++ b/src/services/upstream/node/httpExchange.ts
@@ -35,9 +35,9 @@
    * Whether the connection failed. The parser considers a body without a length complete when its connection is reset, so the
    * end of the response alone does not prove that it is complete.
    */
-  readonly hasFailed: boolean
+  readonly hasConnectionFailed: boolean
   /** Whether the request had been written completely when the response began. */
-  readonly wasWritten: boolean
+  readonly wasRequestWritten: boolean
   /** Ends the exchange and closes its connection. */
   cancel (): void
 }
@@ -49,13 +49,13 @@
 }
 
 class Exchange implements IExchange {
-  readonly wasWritten: boolean
+  readonly wasRequestWritten: boolean
 
   constructor (private readonly _call: ClientRequest, private readonly _state: ExchangeState) {
-    this.wasWritten = _call.writableFinished
+    this.wasRequestWritten = _call.writableFinished
   }
 
-  get hasFailed (): boolean {
+  get hasConnectionFailed (): boolean {
     return this._state.reason !== ''
   }
 
@@ -121,7 +121,7 @@
  * Closes the pool's idle connections to an address. After a timeout on one of them, others opened before may be stalled as
  * well, and each would delay another call.
  */
-export function dropIdleConnections (agent: Agent, address: string): void {
+export function closeIdleConnections (agent: Agent, address: string): void {
   const parsed = parseAddress(address)
   for (const [name, sockets] of Object.entries(agent.freeSockets)) {
     if (parsed === undefined || !name.startsWith(`${parsed.host}:${parsed.port}:`)) continue
--- a/src/services/upstream/node/sendGuard.ts
+++ b/src/services/upstream/node/sendGuard.ts
@@ -28,7 +28,7 @@
   }
 
   /** Number of sends that were withheld since process start. */
-  get withheldCount (): number {
+  get withheldSendCount (): number {
     return this._withheldCount
   }
 
@@ -40,7 +40,7 @@
     const obstacle = this._findObstacle(upstream)
     if (obstacle === undefined) return true
     const { clock, log, registry } = this._options
-    const { revision, ageMs } = registry.computeAge(clock.now())
+    const { revision, ageMs } = registry.computeFreshness(clock.now())
     this._withheldCount++
     log.info('send_withheld', { request, upstream, obstacle, known_revision: formatPosition(revision), known_age_ms: Math.round(ageMs) })
     return false
@@ -51,7 +51,7 @@
     const entry = registry.get(upstream)
     if (entry === undefined) return 'gone'
     if (entry.isLeaving) return 'leaving'
-    if (!registry.mayUse(entry)) return 'evacuated'
+    if (!registry.isAvailable(entry)) return 'evacuated'
     return backoffs?.beginSend(upstream) === false ? 'backingOff' : undefined
   }
 }
--- a/src/services/upstream/test/sendGuard.test.ts
+++ b/src/services/upstream/test/sendGuard.test.ts
@@ -22,21 +22,21 @@
 test('a send is allowed while the upstream accepts work', () => {
   const { guard, lines } = createFixture()
   assert.ok(guard.maySend('u', 'a1'))
-  assert.is(guard.withheldCount, 0)
+  assert.is(guard.withheldSendCount, 0)
   assert.is(lines.length, 0)
 })
 
 const obstacles: readonly (readonly [string, (registry: UpstreamRegistry) => void])[] = [
   ['leaving', registry => registry.markLeaving('u', 'answer')],
   ['evacuated', registry => registry.setEvacuated('x', true)],
-  ['gone', registry => registry.drop('u', 'test')]
+  ['gone', registry => registry.remove('u', 'test')]
 ]
 for (const [obstacle, applyObstacle] of obstacles) {
   test(`a send is withheld, counted and logged if the upstream is ${obstacle} when it would be written`, () => {
     const { guard, registry, lines } = createFixture()
     applyObstacle(registry)
     assert.not(guard.maySend('u', 'a1'))
-    assert.is(guard.withheldCount, 1)
+    assert.is(guard.withheldSendCount, 1)
     assert.ok(lines.some(line => line.includes(`event=send_withheld request=a1 upstream=u obstacle=${obstacle}`)))
   })
 }
@@ -47,16 +47,16 @@
   const changes: string[] = []
   registry.onDidChange(({ kind }) => changes.push(kind))
   registry.update(ENTRY, 'list')
-  assert.equal(registry.listRole('r'), [])
+  assert.equal(registry.listAvailable('r'), [])
   assert.equal(changes, ['added', 'leaving'])
 })
 
 test('an instance that was leaving stays so when its entry is dropped and returns as ready', () => {
   const { registry } = createFixture()
   registry.markLeaving('u', 'answer')
-  registry.drop('u', 'not listed')
+  registry.remove('u', 'not listed')
   registry.update(ENTRY, 'list')
-  assert.equal(registry.listRole('r'), [])
+  assert.equal(registry.listAvailable('r'), [])
 })
 
 test.run()
