--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -11,7 +11,7 @@
 import { Emitter } from '../base/common/event.ts'
 import type { IRandom } from '../base/common/random.ts'
 import { startInterval, waitFor } from '../base/node/interval.ts'
-import { BackoffPieces } from '../services/backoff/node/backoffPieces.ts'
+import { BackoffPieceCalls } from '../services/backoff/node/backoffPieceCalls.ts'
 import type { ConfigurationSource } from '../services/configuration/common/configurationSource.ts'
 import { formatNumber } from '../services/configuration/common/configurationNumber.ts'
 import type { AcceptedConfiguration } from '../services/configuration/common/configurationService.ts'
@@ -22,7 +22,7 @@
 import { HallRegions } from '../services/locate/common/hallRegions.ts'
 import type { AddressAnswer, CallerPlace } from '../services/locate/common/nodeDirectory.ts'
 import { FleetMember } from '../services/membership/node/fleetMember.ts'
-import { PauseGuard } from '../services/pause/common/pauseGuard.ts'
+import { PauseDetector } from '../services/pause/common/pauseDetector.ts'
 import { PauseRecovery } from '../services/pause/node/pauseRecovery.ts'
 import { MetricsServer } from '../services/metrics/node/metricsServer.ts'
 import type { PieceProtocol } from '../services/preparation/common/pieceProtocol.ts'
@@ -34,7 +34,7 @@
 import { createQuarantineHandler } from '../services/quarantine/node/quarantineHandler.ts'
 import { QuarantineService } from '../services/quarantine/node/quarantineService.ts'
 import { createLimitsHandler } from '../services/quota/node/limitsHandler.ts'
-import { LimitedPieces } from '../services/quota/node/limitedPieces.ts'
+import { RateLimitedPieceCalls } from '../services/quota/node/rateLimitedPieceCalls.ts'
 import type { CallerProtocol, UpstreamProtocol } from '../services/relay/common/relayProtocol.ts'
 import { RelayPool } from '../services/relay/common/relayPool.ts'
 import { AffinityRouter } from '../services/relay/common/relayRouter.ts'
@@ -43,7 +43,7 @@
 import { RelayServer } from '../services/relay/node/relayServer.ts'
 import type { CompletedRequest } from '../services/relay/node/relayServer.ts'
 import { PepperwoodError } from '../services/result/common/pepperwoodError.ts'
-import { WindowedRetries } from '../services/retry/common/windowedRetries.ts'
+import { WindowedRetryBudget } from '../services/retry/common/windowedRetryBudget.ts'
 import { UpstreamRegistry } from '../services/upstream/common/upstreamRegistry.ts'
 import type { UpstreamSource } from '../services/upstream/common/upstreamSource.ts'
 import { CallerDirectory } from './callerDirectory.ts'
@@ -94,7 +94,7 @@
   private readonly _registry = this._register(new UpstreamRegistry())
   private readonly _regions: HallRegions
   private readonly _directory: CallerDirectory
-  private readonly _pause: PauseGuard
+  private readonly _pause: PauseDetector
   private readonly _recovery: PauseRecovery
   private readonly _recent: DecayingCount
   private readonly _metrics: NodeMetrics
@@ -125,7 +125,7 @@
     const { clock, log, random, settings } = options
     this._startedAt = clock.now()
     this._regions = new HallRegions(settings.hall_regions)
-    this._pause = new PauseGuard({ clock, getTimeOfDay: Date.now })
+    this._pause = new PauseDetector({ clock, getTimeOfDay: Date.now })
     this._recent = new DecayingCount(clock, LOAD_MEMORY_MS)
     this._member = this._register(new FleetMember({
       ...options,
@@ -141,11 +141,11 @@
     this._recovery = this._register(new PauseRecovery({
       clock,
       log,
-      guard: this._pause,
-      comparePeers: () => this._member.gossip.compareClocks(),
-      readAnew: () => this._readAnew()
+      detector: this._pause,
+      comparePeerClocks: () => this._member.gossip.compareClocks(),
+      refreshState: () => this._readAnew()
     }))
-    this._register(this._member.gossip.onDidCompareClocks(gainMs => this._recovery.noteGain(gainMs)))
+    this._register(this._member.gossip.onDidCompareClocks(gainMs => this._recovery.recordPeerClockGain(gainMs)))
     this.feed = this._register(new FeedService({
       own: settings,
       clock,
@@ -184,9 +184,9 @@
       coldShare: settings.cold_share,
       coldSpare: settings.cold_spare
     }))
-    this._statements = this._register(new NodeStatements({ clock, log, registry: this._registry, noteRate: (upstream, perS) => this._quota.stated.note(upstream, perS) }))
+    this._statements = this._register(new NodeStatements({ clock, log, registry: this._registry, noteRate: (upstream, perS) => this._quota.stated.recordLimit(upstream, perS) }))
     const { backoffs, guard } = this._statements
-    const protocol = new BackoffPieces(new LimitedPieces(options.pieceProtocol, this._quota.service), backoffs, clock)
+    const protocol = new BackoffPieceCalls(new RateLimitedPieceCalls(options.pieceProtocol, this._quota.service), backoffs, clock)
     this._register(protocol.onDidReceiveStatement(stated => this._statements.note(stated)))
     this._coordinator = this._register(new PreparationCoordinator({ clock, log, protocol, registry: this._registry, getTable, limits: this._quota.limits, guard }))
     this._preparationServer = this._register(new PreparationServer(this._coordinator, log, (upstream, limit) => this._quota.answer(upstream, limit)))
@@ -221,7 +221,7 @@
         backoffs,
         recordStatements: stated => this._statements.note(stated),
         quota: this._quota.service,
-        retry: new WindowedRetries({ clock, windowMs: settings.retry_window_s * 1000, share: settings.retry_share * RETRY_SAFETY, getSpare: () => settings.retry_spare * RETRY_SAFETY / this.countNodes() }),
+        retry: new WindowedRetryBudget({ clock, windowMs: settings.retry_window_s * 1000, retryRatio: settings.retry_share * RETRY_SAFETY, getBaseRetries: () => settings.retry_spare * RETRY_SAFETY / this.countNodes() }),
         preparation: this._preparation,
         releaseDelay: new ReleaseDelay(),
         quarantine: this._quarantine
@@ -340,7 +340,7 @@
   private async _readAnew (): Promise<void> {
     const { configurationSource } = this._options
     this._quota.forgetOwned()
-    this._statements.backoffs.expire()
+    this._statements.backoffs.expireBackoffs()
     this._member.askPeers()
     await Promise.race([configurationSource.readNewest(), waitFor(READY_WAIT_MS)])
   }
--- a/src/entryNode/nodeGauges.ts
+++ b/src/entryNode/nodeGauges.ts
@@ -3,7 +3,7 @@
  */
 import type { IClock } from '../base/common/clock.ts'
 import type { FleetMember } from '../services/membership/node/fleetMember.ts'
-import type { PauseGuard } from '../services/pause/common/pauseGuard.ts'
+import type { PauseDetector } from '../services/pause/common/pauseDetector.ts'
 import type { PreparationCoordinator } from '../services/preparation/node/preparationCoordinator.ts'
 import type { QuarantineService } from '../services/quarantine/node/quarantineService.ts'
 import type { RelayServer } from '../services/relay/node/relayServer.ts'
@@ -21,7 +21,7 @@
   readonly quota: NodeQuota
   readonly statements: NodeStatements
   readonly quarantine: QuarantineService
-  readonly pause: PauseGuard
+  readonly pause: PauseDetector
 }
 
 export function createNodeGauges ({ clock, relay, member, registry, coordinator, quota, statements, quarantine, pause }: GaugedParts): NodeGauges {
--- a/src/entryNode/nodeQuota.ts
+++ b/src/entryNode/nodeQuota.ts
@@ -8,11 +8,11 @@
 import type { ILogService } from '../services/log/node/logger.ts'
 import type { CoordinatorLinks } from '../services/preparation/node/coordinatorLinks.ts'
 import type { MembershipTable } from '../services/membership/common/membershipTable.ts'
-import { AllLimits, ColdLimits, StatedLimits } from '../services/quota/common/limitSource.ts'
+import { CombinedLimits, ColdStartLimits, StatedLimits } from '../services/quota/common/rateLimitSource.ts'
 import { QuotaOwner } from '../services/quota/common/quotaOwner.ts'
-import type { QuotaGrant } from '../services/quota/common/quotaOwner.ts'
-import { ToldLimits } from '../services/quota/common/toldLimits.ts'
-import type { ToldLimit } from '../services/quota/common/toldLimits.ts'
+import type { QuotaDecision } from '../services/quota/common/quotaOwner.ts'
+import { PeerReportedLimits } from '../services/quota/common/peerReportedLimits.ts'
+import type { PeerReportedLimit } from '../services/quota/common/peerReportedLimits.ts'
 import { QuotaService } from '../services/quota/node/quotaService.ts'
 import { RateLimitService } from '../services/quota/node/rateLimitService.ts'
 import type { RelayTable } from '../services/relay/common/relayTable.ts'
@@ -43,14 +43,14 @@
 
 /** How often it is looked at which halls this node owns the quotas of. */
 const OWNER_PERIOD_MS = 100
-const NOT_KNOWN: QuotaGrant = { isGranted: false, retryInMs: 200 }
+const NOT_KNOWN: QuotaDecision = { isGranted: false, retryInMs: 200 }
 
 export class NodeQuota extends Disposable {
   private readonly _options: NodeQuotaOptions
   private readonly _owner: QuotaOwner
-  private readonly _told: ToldLimits
+  private readonly _told: PeerReportedLimits
   readonly stated: RateLimitService
-  readonly limits: AllLimits
+  readonly limits: CombinedLimits
   readonly service: QuotaService
 
   constructor (options: NodeQuotaOptions) {
@@ -60,16 +60,16 @@
     const countLive = () => membership.countLive()
     const countKnown = () => membership.listMembers().filter(({ state }) => state !== 'left').length
     this.stated = this._register(new RateLimitService(options))
-    this._told = new ToldLimits(clock)
-    this._register(registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._told.drop(entry.id) }))
-    const known = new AllLimits([
+    this._told = new PeerReportedLimits(clock)
+    this._register(registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._told.remove(entry.id) }))
+    const known = new CombinedLimits([
       new StatedLimits(upstream => this.stated.findLimit(upstream)),
-      new ColdLimits({ clock, getBound: role => this._computeColdBound(role), countKnown, countLive })
+      new ColdStartLimits({ clock, getMaxRequestsPerS: role => this._computeColdBound(role), countKnownNodes: countKnown, countLiveNodes: countLive })
     ])
-    this.limits = new AllLimits([this._told, known])
+    this.limits = new CombinedLimits([this._told, known])
     this._owner = new QuotaOwner({ clock, limits: this.limits, isOwner: hall => options.mayOwn() && this._findOwner(hall) === undefined })
-    this.service = this._register(new QuotaService({ ...options, limits: this.limits, known, owner: this._owner, findOwner: hall => this._findOwner(hall), countNodes: countLive }))
-    this._register(startInterval(OWNER_PERIOD_MS, () => this._owner.refresh(new Set(registry.list().map(({ hall }) => hall)))))
+    this.service = this._register(new QuotaService({ ...options, limits: this.limits, localLimits: known, owner: this._owner, findOwnerAddress: hall => this._findOwner(hall), countNodes: countLive }))
+    this._register(startInterval(OWNER_PERIOD_MS, () => this._owner.refreshOwnership(new Set(registry.list().map(({ hall }) => hall)))))
   }
 
   /** Requests that were not given out here since the start. */
@@ -78,16 +78,16 @@
   }
 
   /** Whether another node may send one request to an upstream. */
-  answer (upstreamId: string, limit: ToldLimit | undefined): QuotaGrant {
+  answer (upstreamId: string, limit: PeerReportedLimit | undefined): QuotaDecision {
     const entry = this._options.registry.get(upstreamId)
     if (entry === undefined) return NOT_KNOWN
-    if (limit !== undefined) this._told.note(upstreamId, limit)
+    if (limit !== undefined) this._told.record(upstreamId, limit)
     return this._owner.acquire(entry)
   }
 
   /** What this node knew of the owners is from before a pause. */
   forgetOwned (): void {
-    this._owner.forgetOwned()
+    this._owner.resetOwnership()
   }
 
   /** What one cold upstream of a role may get in a second from all nodes together; Infinity where nothing bounds it. */
--- a/src/entryNode/nodeStatements.ts
+++ b/src/entryNode/nodeStatements.ts
@@ -42,7 +42,7 @@
     this._receivers = {
       rate: (upstream, { perS }) => noteRate(upstream, perS),
       leaving: upstream => registry.markLeaving(upstream, ANSWER_SIGNAL),
-      backoff: (upstream, { forMs }) => this.backoffs.note(upstream, forMs),
+      backoff: (upstream, { forMs }) => this.backoffs.recordBackoff(upstream, forMs),
       invalid: (upstream, { name, value }) => this._noteInvalid(upstream, name, value)
     }
   }
--- a/src/entryNode/test/statementsHandler.test.ts
+++ b/src/entryNode/test/statementsHandler.test.ts
@@ -17,7 +17,7 @@
   for (const id of ['a', 'b', 'c']) registry.update({ id, role: 'r', address: '127.0.0.1:9', hall: 'x', slots: 1, isLeaving: false }, 'test')
   facts.merge({ subject: 'leaving/a', incarnation: 1, counter: 1, value: { kind: 'leaving', upstream: 'a', signal: 'answer' }, ageMs: 20 }, 'n:1')
   registry.markLeaving('a', 'peer')
-  backoffs.note('b', 3000)
+  backoffs.recordBackoff('b', 3000)
   clock.advance(100)
   const handler = createStatementsHandler({ clock, registry, facts, backoffs })
   assert.equal(handler.answer('GET', ''), {
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -24,7 +24,7 @@
 import type { GateView, LocatedGate } from '../services/locate/common/locatePolicy.ts'
 import type { ILogService } from '../services/log/node/logger.ts'
 import { MetricsServer } from '../services/metrics/node/metricsServer.ts'
-import { PAUSE_CHECK_PERIOD_MS, PauseGuard } from '../services/pause/common/pauseGuard.ts'
+import { PAUSE_CHECK_PERIOD_MS, PauseDetector } from '../services/pause/common/pauseDetector.ts'
 import { RequestRunner } from '../services/pipeline/node/requestRunner.ts'
 import { StageRunner } from '../services/pipeline/node/stageRunner.ts'
 import { RpcServer } from '../services/rpc/node/rpcServer.ts'
@@ -75,7 +75,7 @@
   private readonly _sessions: SessionService
   private readonly _scheduler: UpstreamScheduler
   private readonly _decisions: DecisionLog
-  private readonly _pause: PauseGuard
+  private readonly _pause: PauseDetector
   private readonly _recent: DecayingCount
   private readonly _subscription: StewardSubscription
   private readonly _requests: GateRequests
@@ -99,7 +99,7 @@
     this._facts = this._register(new FactStore(clock))
     this._configuration = this._register(new ConfigurationService(clock))
     this._decisions = new DecisionLog(clock)
-    this._pause = new PauseGuard({ clock, getTimeOfDay: Date.now })
+    this._pause = new PauseDetector({ clock, getTimeOfDay: Date.now })
     this._recent = new DecayingCount(clock, RECENT_MS)
     this._sessions = new SessionService({
       clock,
--- a/src/gate/gateMetrics.ts
+++ b/src/gate/gateMetrics.ts
@@ -3,7 +3,7 @@
  */
 import type { FactStore } from '../services/facts/common/factStore.ts'
 import { MetricsRegistry } from '../services/metrics/node/metricsServer.ts'
-import type { PauseGuard } from '../services/pause/common/pauseGuard.ts'
+import type { PauseDetector } from '../services/pause/common/pauseDetector.ts'
 import type { EndedAttempt } from '../services/pipeline/node/stageRunner.ts'
 import type { RequestRun } from '../services/session/common/requestRun.ts'
 import type { ISessionService } from '../services/session/common/sessionService.ts'
@@ -11,7 +11,7 @@
 export interface GateMetricsOptions {
   readonly sessions: ISessionService
   readonly facts: FactStore
-  readonly pause: PauseGuard
+  readonly pause: PauseDetector
 }
 
 export class GateMetrics {
--- a/src/gate/policies.ts
+++ b/src/gate/policies.ts
@@ -27,7 +27,7 @@
 }
 
 export function createLimiter (policy: PolicySettings): ConcurrencyLimiter {
-  return policy.limits === 'fixed' ? new FixedLimiter() : new AdaptiveLimiter({ fill: policy.fill })
+  return policy.limits === 'fixed' ? new FixedLimiter() : new AdaptiveLimiter({ fillFactor: policy.fill })
 }
 
 export function createQueue (policy: PolicySettings): StageQueue {
@@ -35,7 +35,7 @@
 }
 
 export function createRetries (policy: PolicySettings): RetryPolicy {
-  return policy.retries === 'unlimited' ? new UnlimitedRetries() : new RetryBudget({ share: policy.retry_share })
+  return policy.retries === 'unlimited' ? new UnlimitedRetries() : new RetryBudget({ retryRatio: policy.retry_share })
 }
 
 export function createHealth (policy: PolicySettings): HealthTracker {
--- a/src/services/backoff/common/backoff.ts
+++ b/src/services/backoff/common/backoff.ts
@@ -11,7 +11,7 @@
   /** To be called right before a request is written. Returns false if it must not be sent. */
   beginSend (upstream: string): boolean
   /** Records whether the upstream accepted a request that was written at a time on this process's clock. */
-  settleSend (upstream: string, sentAt: number, isAccepted: boolean): void
+  recordSendResult (upstream: string, sentAt: number, isAccepted: boolean): void
   /** Returns the delay in ms after which a caller should retry when all of these upstreams are backing off. */
-  scheduleReturn (role: string, entries: readonly UpstreamEntry[]): number
+  scheduleRetryAfter (role: string, entries: readonly UpstreamEntry[]): number
 }
--- a/src/services/backoff/common/returnSpread.ts
+++ b/src/services/backoff/common/staggeredRetryAfter.ts
@@ -2,7 +2,7 @@
  * Computes retry delays for callers while all upstreams of a role are backing off. One caller retries when the first backoff
  * ends, as the trial request. All others are spread over the time after the trial, when that upstream accepts any number.
  */
-import { TRIAL_TIMEOUT_MS } from './backoffBook.ts'
+import { TRIAL_TIMEOUT_MS } from './backoffTable.ts'
 
 interface StaggerState {
   /** When the first backoff ends, in ms on this process's clock. */
--- a/src/services/backoff/node/backoffPieces.ts
+++ b/src/services/backoff/node/backoffPieceCalls.ts
@@ -18,7 +18,7 @@
 /** Results that were not freed by then have been removed by the upstream itself. */
 const MAX_FREE_DELAY_MS = 10_000
 
-export class BackoffPieces extends PieceProtocol {
+export class BackoffPieceCalls extends PieceProtocol {
   private readonly _delayedFrees = new Map<string, DelayedFree>()
 
   constructor (private readonly _inner: PieceProtocol, private readonly _backoffs: IBackoffService, private readonly _clock: IClock) {
@@ -38,7 +38,7 @@
         return true
       }
     })
-    if (sentAt !== undefined) this._backoffs.settleSend(upstream.id, sentAt, outcome.kind === 'answered')
+    if (sentAt !== undefined) this._backoffs.recordSendResult(upstream.id, sentAt, outcome.kind === 'answered')
     const leftMs = this._backoffs.getWaitMs(upstream.id)
     return outcome.kind === 'notRun' && leftMs > 0 ? { kind: 'notRun', reason: 'backingOff', retryInMs: leftMs } : outcome
   }
@@ -85,7 +85,7 @@
         return true
       }
     })
-    if (sentAt !== undefined) this._backoffs.settleSend(upstream.id, sentAt, isFreed)
+    if (sentAt !== undefined) this._backoffs.recordSendResult(upstream.id, sentAt, isFreed)
     return isFreed
   }
 }
--- a/src/services/backoff/node/backoffService.ts
+++ b/src/services/backoff/node/backoffService.ts
@@ -7,9 +7,9 @@
 import type { ILogService } from '../../log/node/logger.ts'
 import type { UpstreamEntry, UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { IBackoffService } from '../common/backoff.ts'
-import { BackoffTable } from '../common/backoffBook.ts'
-import type { KnownBackoff } from '../common/backoffBook.ts'
-import { StaggeredRetryAfter } from '../common/returnSpread.ts'
+import { BackoffTable } from '../common/backoffTable.ts'
+import type { KnownBackoff } from '../common/backoffTable.ts'
+import { StaggeredRetryAfter } from '../common/staggeredRetryAfter.ts'
 
 export interface BackoffServiceOptions {
   readonly clock: IClock
@@ -29,7 +29,7 @@
   }
 
   /** Records that an upstream requested a backoff of some duration, starting now. */
-  note (upstream: string, forMs: number): void {
+  recordBackoff (upstream: string, forMs: number): void {
     const { clock, log, registry } = this._options
     if (forMs <= 0 || registry.get(upstream) === undefined) return
     const now = clock.now()
@@ -52,17 +52,17 @@
     return kind !== 'denied'
   }
 
-  settleSend (upstream: string, sentAt: number, isAccepted: boolean): void {
+  recordSendResult (upstream: string, sentAt: number, isAccepted: boolean): void {
     if (this._table.recordSendResult(upstream, sentAt, isAccepted)) this._options.log.info('backoff_ended', { upstream })
   }
 
-  scheduleReturn (role: string, entries: readonly UpstreamEntry[]): number {
+  scheduleRetryAfter (role: string, entries: readonly UpstreamEntry[]): number {
     const earliestMs = Math.min(...entries.map(({ id }) => this.getWaitMs(id)))
     return this._retryAfters.schedule(role, earliestMs, this._options.clock.now())
   }
 
   /** Ends all backoffs after a pause of this process, since the state is outdated. */
-  expire (): void {
+  expireBackoffs (): void {
     this._table.expireAll(this._options.clock.now())
   }
 
--- a/src/services/backoff/test/backoffPieces.test.ts
+++ b/src/services/backoff/test/backoffPieceCalls.test.ts
@@ -7,7 +7,7 @@
 import type { PieceCallOutcome } from '../../preparation/common/plannedCall.ts'
 import { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
-import { BackoffPieces } from '../node/backoffPieces.ts'
+import { BackoffPieceCalls } from '../node/backoffPieceCalls.ts'
 import { BackoffService } from '../node/backoffService.ts'
 
 const test = suite('backoffPieceCalls')
@@ -42,8 +42,8 @@
   registry.update(UPSTREAM, 'test')
   const backoffs = new BackoffService({ clock, log: new LogService({ program: 'test', silent: true }), registry })
   const fake = new FakePieceProtocol()
-  const pieces = new BackoffPieces(fake, backoffs, clock)
-  pieces.onDidReceiveStatement(({ upstream }) => backoffs.note(upstream, fake.backoffMs))
+  const pieces = new BackoffPieceCalls(fake, backoffs, clock)
+  pieces.onDidReceiveStatement(({ upstream }) => backoffs.recordBackoff(upstream, fake.backoffMs))
   return { clock, registry, backoffs, fake, pieces }
 }
 
@@ -63,7 +63,7 @@
 
 test('results are freed together at the end of a backoff', async () => {
   const { clock, fake, pieces, backoffs } = createParts()
-  backoffs.note('u', BACKOFF_MS)
+  backoffs.recordBackoff('u', BACKOFF_MS)
   const frees = [pieces.freeResults(UPSTREAM, ['a']), pieces.freeResults(UPSTREAM, ['b', 'c'])]
   clock.advance(BACKOFF_MS - 1)
   await flushPromises()
@@ -75,32 +75,32 @@
 
 test('results that cannot be freed for a long time are left to expire', async () => {
   const { fake, pieces, backoffs } = createParts()
-  backoffs.note('u', 60_000)
+  backoffs.recordBackoff('u', 60_000)
   assert.not(await pieces.freeResults(UPSTREAM, ['a']))
   assert.equal(fake.sentCalls, [])
 })
 
 test('a backoff ends when its upstream instance is removed', () => {
   const { registry, backoffs } = createParts()
-  backoffs.note('u', BACKOFF_MS)
+  backoffs.recordBackoff('u', BACKOFF_MS)
   registry.remove('u', 'removed')
   assert.ok(backoffs.isEmpty)
-  backoffs.note('u', BACKOFF_MS)
+  backoffs.recordBackoff('u', BACKOFF_MS)
   assert.ok(backoffs.isEmpty)
 })
 
 test('one caller retries at the end of the first backoff, and the others are spread over one second after its trial', () => {
   const { clock, backoffs } = createParts()
   clock.advance(1e6 / 7)
-  backoffs.note('u', BACKOFF_MS)
-  const times = Array.from({ length: 3 }, () => backoffs.scheduleReturn('r', [UPSTREAM]))
+  backoffs.recordBackoff('u', BACKOFF_MS)
+  const times = Array.from({ length: 3 }, () => backoffs.scheduleRetryAfter('r', [UPSTREAM]))
   assert.equal(times.map(Math.round), [BACKOFF_MS, BACKOFF_MS + 250, BACKOFF_MS + 300])
   clock.advance(1000 / 3)
-  const later = Array.from({ length: 100 }, () => backoffs.scheduleReturn('r', [UPSTREAM]))
+  const later = Array.from({ length: 100 }, () => backoffs.scheduleRetryAfter('r', [UPSTREAM]))
   assert.ok(later.every(time => time >= BACKOFF_MS - 334 + 250 && time < BACKOFF_MS - 333 + 1250))
   assert.is(Math.max(...Array.from(new Set(later.map(Math.round)), time => later.filter(other => Math.round(other) === time).length)), 5)
-  backoffs.note('u', BACKOFF_MS)
-  assert.is(Math.round(backoffs.scheduleReturn('r', [UPSTREAM])), BACKOFF_MS)
+  backoffs.recordBackoff('u', BACKOFF_MS)
+  assert.is(Math.round(backoffs.scheduleRetryAfter('r', [UPSTREAM])), BACKOFF_MS)
 })
 
 test.run()
--- a/src/services/backoff/test/backoffBook.test.ts
+++ b/src/services/backoff/test/backoffTable.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { BackoffTable, TRIAL_TIMEOUT_MS } from '../common/backoffBook.ts'
+import { BackoffTable, TRIAL_TIMEOUT_MS } from '../common/backoffTable.ts'
 
 const test = suite('backoffTable')
 
--- a/src/services/backoff/test/returnSpread.test.ts
+++ b/src/services/backoff/test/staggeredRetryAfter.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { StaggeredRetryAfter } from '../common/returnSpread.ts'
+import { StaggeredRetryAfter } from '../common/staggeredRetryAfter.ts'
 
 const test = suite('staggeredRetryAfter')
 
--- a/src/services/limits/common/concurrencyLimiter.ts
+++ b/src/services/limits/common/concurrencyLimiter.ts
@@ -6,7 +6,7 @@
 export type LimitSignal = 'ok' | 'slow' | 'busy' | 'failed'
 
 /** The tracked state of an upstream when a call is to be started. */
-export interface RoomInputs {
+export interface LimiterInputs {
   /** Calls of this gate that are in flight. */
   readonly inFlight: number
   /** Calls of all gates at the upstream: the number it last reported, corrected by the changes known since. */
@@ -19,19 +19,19 @@
   /** The most calls that this gate may have in flight, regardless of the other gates. */
   abstract get limit (): number
   /** Returns how many calls this gate may have in flight, given the estimated calls of the other gates. */
-  abstract computeRoom (inputs: RoomInputs): number
+  abstract computeAllowedCalls (inputs: LimiterInputs): number
   /**
    * Returns this gate's share of the upstream's capacity, in calls, queued ones included: an equal part of it, or more if
    * the other gates leave capacity unused. Divided by the usual duration of a call, time in the queue included, it gives the
    * rate at which the gate's calls are served.
    */
-  abstract computePart (inputs: RoomInputs): number
+  abstract computeShare (inputs: LimiterInputs): number
   /** The part of the capacity, in calls, that is guaranteed to this gate whatever the other gates use. */
-  abstract get equalPart (): number
+  abstract get equalShare (): number
   /** Records the outcome of a call, and the number of calls that were in flight when it ended. */
   abstract record (signal: LimitSignal, inFlight: number): void
   /** Sets the number of calls that the upstream can run at once, and the number of gates that share it. */
-  abstract setShare (capacity: number, liveGates: number): void
+  abstract updateCapacity (capacity: number, liveGates: number): void
 }
 
 /** Baseline for comparison: always the upstream's configured concurrency. */
@@ -42,21 +42,21 @@
     return this._limit
   }
 
-  get equalPart (): number {
+  get equalShare (): number {
     return this._limit
   }
 
-  computeRoom (): number {
+  computeAllowedCalls (): number {
     return this._limit
   }
 
-  computePart (): number {
+  computeShare (): number {
     return this._limit
   }
 
   record (): void {}
 
-  setShare (capacity: number): void {
+  updateCapacity (capacity: number): void {
     this._limit = Math.max(1, capacity)
   }
 }
@@ -69,7 +69,7 @@
   readonly busyDecreaseFactor?: number
   readonly slowDecreaseFactor?: number
   /** Estimated calls allowed at an upstream, relative to its capacity. Values above 1 keep its batch full between reports. */
-  readonly fill?: number
+  readonly fillFactor?: number
 }
 
 /**
@@ -91,26 +91,26 @@
     this._increase = options.increase ?? 1
     this._busyDecreaseFactor = options.busyDecreaseFactor ?? 0.7
     this._slowDecreaseFactor = options.slowDecreaseFactor ?? 0.9
-    this._fillFactor = options.fill ?? 1.5
+    this._fillFactor = options.fillFactor ?? 1.5
   }
 
   get limit (): number {
     return Math.max(1, Math.floor(this._limit))
   }
 
-  computeRoom (inputs: RoomInputs): number {
+  computeAllowedCalls (inputs: LimiterInputs): number {
     const otherCalls = Math.max(0, inputs.backlog - inputs.inFlight)
     const preferredExtra = inputs.isPreferred === true ? this._capacity * PREFERRED_EXTRA_RATIO : 0
     const available = Math.floor(this._capacity * this._fillFactor + preferredExtra - otherCalls)
     return Math.min(Math.floor(this.limit + preferredExtra), Math.max(0, available))
   }
 
-  computePart (inputs: RoomInputs): number {
+  computeShare (inputs: LimiterInputs): number {
     const otherCalls = Math.max(0, inputs.backlog - inputs.inFlight)
     return Math.min(this._limit, Math.max(this._equalShare, this._capacity * this._fillFactor - otherCalls))
   }
 
-  get equalPart (): number {
+  get equalShare (): number {
     return Math.min(this._limit, this._equalShare)
   }
 
@@ -121,7 +121,7 @@
     this._limit = Math.min(this._maxLimit, Math.max(1, this._limit))
   }
 
-  setShare (capacity: number, liveGates: number): void {
+  updateCapacity (capacity: number, liveGates: number): void {
     this._equalShare = capacity * this._fillFactor / Math.max(1, liveGates)
     if (capacity === this._capacity) return
     const isFirst = this._capacity === 0
--- a/src/services/limits/test/concurrencyLimiter.test.ts
+++ b/src/services/limits/test/concurrencyLimiter.test.ts
@@ -7,8 +7,8 @@
 const test = suite('concurrencyLimiter')
 
 function createLimiter (capacity: number, liveGates: number): AdaptiveLimiter {
-  const limiter = new AdaptiveLimiter({ fill: 1 })
-  limiter.setShare(capacity, liveGates)
+  const limiter = new AdaptiveLimiter({ fillFactor: 1 })
+  limiter.updateCapacity(capacity, liveGates)
   return limiter
 }
 
@@ -21,27 +21,27 @@
 ]
 
 for (const [name, gates, inFlight, backlog, allowedCalls] of cases) {
-  test(name, () => assert.is(createLimiter(18, gates).computeRoom({ inFlight, backlog }), allowedCalls))
+  test(name, () => assert.is(createLimiter(18, gates).computeAllowedCalls({ inFlight, backlog }), allowedCalls))
 }
 
 test('the equal share is independent of the calls of other gates, and follows the number of gates', () => {
-  assert.is(createLimiter(18, 9).computePart({ inFlight: 0, backlog: 40 }), 2)
-  assert.is(createLimiter(18, 3).computePart({ inFlight: 0, backlog: 40 }), 6)
-  assert.is(createLimiter(4, 8).computePart({ inFlight: 0, backlog: 40 }), 0.5)
-  assert.is(createLimiter(18, 9).computePart({ inFlight: 0, backlog: 4 }), 14)
+  assert.is(createLimiter(18, 9).computeShare({ inFlight: 0, backlog: 40 }), 2)
+  assert.is(createLimiter(18, 3).computeShare({ inFlight: 0, backlog: 40 }), 6)
+  assert.is(createLimiter(4, 8).computeShare({ inFlight: 0, backlog: 40 }), 0.5)
+  assert.is(createLimiter(18, 9).computeShare({ inFlight: 0, backlog: 4 }), 14)
 })
 
 test('a preferred call is allowed where others are not', () => {
-  assert.is(createLimiter(4, 9).computeRoom({ inFlight: 0, backlog: 4 }), 0)
-  assert.is(createLimiter(4, 9).computeRoom({ inFlight: 0, backlog: 4, isPreferred: true }), 4)
-  assert.is(createLimiter(4, 9).computeRoom({ inFlight: 0, backlog: 8, isPreferred: true }), 0)
+  assert.is(createLimiter(4, 9).computeAllowedCalls({ inFlight: 0, backlog: 4 }), 0)
+  assert.is(createLimiter(4, 9).computeAllowedCalls({ inFlight: 0, backlog: 4, isPreferred: true }), 4)
+  assert.is(createLimiter(4, 9).computeAllowedCalls({ inFlight: 0, backlog: 8, isPreferred: true }), 0)
 })
 
 test('busy calls reduce the limit, successful calls at the limit raise it, and those below it do not', () => {
   const limiter = createLimiter(16, 1)
   for (let index = 0; index < 3; index++) limiter.record('busy', 16)
   assert.is(limiter.limit, 5)
-  assert.is(limiter.computeRoom({ inFlight: 0, backlog: 0 }), 5)
+  assert.is(limiter.computeAllowedCalls({ inFlight: 0, backlog: 0 }), 5)
   for (let index = 0; index < 100; index++) limiter.record('ok', 1)
   assert.is(limiter.limit, 5)
   for (let index = 0; index < 500; index++) limiter.record('ok', 99)
@@ -54,7 +54,7 @@
     const limiter = createLimiter(capacity, gates)
     for (const item of signals) {
       limiter.record(item, limiter.limit)
-      const allowedCalls = limiter.computeRoom({ inFlight: 0, backlog })
+      const allowedCalls = limiter.computeAllowedCalls({ inFlight: 0, backlog })
       assert.ok(allowedCalls >= 0 && allowedCalls <= capacity)
       assert.ok(limiter.limit >= 1)
     }
@@ -63,8 +63,8 @@
 
 test('a fixed limit is the capacity, regardless of other gates', () => {
   const limiter = new FixedLimiter()
-  limiter.setShare(8)
-  assert.is(limiter.computeRoom(), 8)
+  limiter.updateCapacity(8)
+  assert.is(limiter.computeAllowedCalls(), 8)
 })
 
 test.run()
--- a/src/services/pause/common/pauseGuard.ts
+++ b/src/services/pause/common/pauseDetector.ts
@@ -9,14 +9,14 @@
 
 const DEFAULT_MAX_GAP_MS = 750
 
-export interface PauseGuardOptions {
+export interface PauseDetectorOptions {
   readonly clock: IClock
   /** Returns the wall time in ms, which includes time that the monotonic clock leaves out while the machine is suspended. */
   readonly getTimeOfDay: () => number
   readonly maxGapMs?: number
 }
 
-export class PauseGuard {
+export class PauseDetector {
   private readonly _clock: IClock
   private readonly _getTimeOfDay: () => number
   private readonly _maxGapMs: number
@@ -26,7 +26,7 @@
   private _pauseCount = 0
   private _timeOfDayJumpMs = 0
 
-  constructor ({ clock, getTimeOfDay, maxGapMs = DEFAULT_MAX_GAP_MS }: PauseGuardOptions) {
+  constructor ({ clock, getTimeOfDay, maxGapMs = DEFAULT_MAX_GAP_MS }: PauseDetectorOptions) {
     this._clock = clock
     this._getTimeOfDay = getTimeOfDay
     this._maxGapMs = maxGapMs
--- a/src/services/pause/node/pauseRecovery.ts
+++ b/src/services/pause/node/pauseRecovery.ts
@@ -7,17 +7,17 @@
 import { Disposable } from '../../../base/common/disposable.ts'
 import { startInterval } from '../../../base/node/interval.ts'
 import type { ILogService } from '../../log/node/logger.ts'
-import { PAUSE_CHECK_PERIOD_MS } from '../common/pauseGuard.ts'
-import type { PauseGuard } from '../common/pauseGuard.ts'
+import { PAUSE_CHECK_PERIOD_MS } from '../common/pauseDetector.ts'
+import type { PauseDetector } from '../common/pauseDetector.ts'
 
 export interface PauseRecoveryOptions {
   readonly clock: ISuspendableClock
   readonly log: ILogService
-  readonly guard: PauseGuard
+  readonly detector: PauseDetector
   /** Queries the clocks of some peers; resolves when they have answered or failed to do so. */
-  readonly comparePeers: () => Promise<unknown>
+  readonly comparePeerClocks: () => Promise<unknown>
   /** Reads the state that may have changed during the pause; resolves when this is done or has timed out. */
-  readonly readAnew: () => Promise<unknown>
+  readonly refreshState: () => Promise<unknown>
 }
 
 /** Message delay on busy hosts may change the measured offset of two clocks by this much. */
@@ -37,35 +37,35 @@
   }
 
   /** Records that a peer's clock has gained on this one. This may be the first sign that this machine was suspended. */
-  noteGain (gainMs: number): void {
-    const { clock, guard, log } = this._options
+  recordPeerClockGain (gainMs: number): void {
+    const { clock, detector: detector, log } = this._options
     if (gainMs < CLOCK_TOLERANCE_MS) return
-    guard.checkClocks()
-    const { timeOfDayJumpMs } = guard
+    detector.checkClocks()
+    const { timeOfDayJumpMs } = detector
     if (timeOfDayJumpMs === 0 || Math.abs(gainMs - timeOfDayJumpMs) > CLOCK_TOLERANCE_MS) return
     clock.addSuspended(timeOfDayJumpMs)
-    guard.clearTimeOfDayJump()
+    detector.clearTimeOfDayJump()
     log.warn('suspended', { for_ms: Math.round(timeOfDayJumpMs), peer_gain_ms: Math.round(gainMs) })
     this.checkForPause()
   }
 
   /** Starts the recovery if a pause was detected. */
   checkForPause (): void {
-    const { guard, log } = this._options
-    if (!guard.isStale || this._isRecovering) return
+    const { detector: detector, log } = this._options
+    if (!detector.isStale || this._isRecovering) return
     this._isRecovering = true
-    log.warn('paused', { pauses: guard.pauseCount, time_of_day_jump_ms: Math.round(guard.timeOfDayJumpMs) })
+    log.warn('paused', { pauses: detector.pauseCount, time_of_day_jump_ms: Math.round(detector.timeOfDayJumpMs) })
     void this._completeRecovery()
   }
 
   private async _completeRecovery (): Promise<void> {
-    const { guard, log, comparePeers, readAnew } = this._options
-    await Promise.all([guard.timeOfDayJumpMs > 0 ? comparePeers() : undefined, readAnew()])
-    if (guard.timeOfDayJumpMs > 0) {
-      log.info('time_of_day_set', { ahead_ms: Math.round(guard.timeOfDayJumpMs) })
-      guard.clearTimeOfDayJump()
+    const { detector: detector, log, comparePeerClocks: comparePeerClocks, refreshState: refreshState } = this._options
+    await Promise.all([detector.timeOfDayJumpMs > 0 ? comparePeerClocks() : undefined, refreshState()])
+    if (detector.timeOfDayJumpMs > 0) {
+      log.info('time_of_day_set', { ahead_ms: Math.round(detector.timeOfDayJumpMs) })
+      detector.clearTimeOfDayJump()
     }
     this._isRecovering = false
-    guard.markRefreshed()
+    detector.markRefreshed()
   }
 }
--- a/src/services/pause/test/pauseGuard.test.ts
+++ b/src/services/pause/test/pauseDetector.test.ts
@@ -1,13 +1,13 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { VirtualClock } from '../../../base/common/clock.ts'
-import { PauseGuard } from '../common/pauseGuard.ts'
+import { PauseDetector } from '../common/pauseDetector.ts'
 
 const test = suite('pauseDetector')
 
 test('a gap is detected by the first check, and the state is stale until it is refreshed', () => {
   const clock = new VirtualClock()
-  const detector = new PauseGuard({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
+  const detector = new PauseDetector({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
   clock.advance(400)
   assert.not(detector.isStale)
   clock.advance(501)
@@ -22,7 +22,7 @@
 
 test('a pause during the refresh is detected as well', () => {
   const clock = new VirtualClock()
-  const detector = new PauseGuard({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
+  const detector = new PauseDetector({ clock, getTimeOfDay: () => clock.now(), maxGapMs: 500 })
   clock.advance(600)
   detector.checkClocks()
   clock.advance(600)
@@ -46,7 +46,7 @@
 // upstreams that had left and sent answers that nobody waited for. Its monotonic clock does not advance in that time.
 test('a suspension that the monotonic clock leaves out is detected as a pause', () => {
   const clocks = new MachineClocks()
-  const detector = new PauseGuard({ clock: clocks.monotonic, getTimeOfDay: clocks.getTimeOfDay })
+  const detector = new PauseDetector({ clock: clocks.monotonic, getTimeOfDay: clocks.getTimeOfDay })
   clocks.monotonic.advance(50)
   assert.not(detector.isStale)
   clocks.addOffset(5000)
@@ -59,7 +59,7 @@
 
 test('a time of day that drifts or is set back is not a pause', () => {
   const clocks = new MachineClocks()
-  const detector = new PauseGuard({ clock: clocks.monotonic, getTimeOfDay: clocks.getTimeOfDay })
+  const detector = new PauseDetector({ clock: clocks.monotonic, getTimeOfDay: clocks.getTimeOfDay })
   for (let second = 0; second < 100; second++) {
     clocks.monotonic.advance(50)
     clocks.addOffset(20)
--- a/src/services/pause/test/pauseRecovery.test.ts
+++ b/src/services/pause/test/pauseRecovery.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert'
 import { VirtualClock } from '../../../base/common/clock.ts'
 import { LogService } from '../../log/node/logger.ts'
-import { PauseGuard } from '../common/pauseGuard.ts'
+import { PauseDetector } from '../common/pauseDetector.ts'
 import { PeerClocks } from '../common/peerClocks.ts'
 import { PauseRecovery } from '../node/pauseRecovery.ts'
 
@@ -16,7 +16,7 @@
   readCount = 0
   private readonly _clocks = new PeerClocks()
   private _timeOfDay = 0
-  readonly detector = new PauseGuard({ clock: this.own, getTimeOfDay: () => this.own.now() + this._timeOfDay })
+  readonly detector = new PauseDetector({ clock: this.own, getTimeOfDay: () => this.own.now() + this._timeOfDay })
   readonly recovery: PauseRecovery
 
   constructor () {
@@ -25,16 +25,16 @@
     this.recovery = new PauseRecovery({
       clock: this.own,
       log,
-      guard: this.detector,
-      comparePeers: () => Promise.resolve(this.comparePeer()),
-      readAnew: () => { this.readCount++; return Promise.resolve() }
+      detector: this.detector,
+      comparePeerClocks: () => Promise.resolve(this.comparePeer()),
+      refreshState: () => { this.readCount++; return Promise.resolve() }
     })
     this.comparePeer()
   }
 
   /** The peer answers a probe. */
   comparePeer (): void {
-    this.recovery.noteGain(this._clocks.compare('peer', this.peer.now(), this.own.now()))
+    this.recovery.recordPeerClockGain(this._clocks.compare('peer', this.peer.now(), this.own.now()))
   }
 
   advance (ms: number): void {
--- a/src/services/pipeline/node/stageRunner.ts
+++ b/src/services/pipeline/node/stageRunner.ts
@@ -223,7 +223,7 @@
     })
     if (decision.kind === 'queue') return Effect.sleep(decision.waitMs)
     if (decision.kind !== 'again') return Effect.fail(createFailure(job, outcome.error, decision.kind === 'giveUp' ? decision.reason : 'stageFailed'))
-    if (!retries.takeRetry(job.stage.role)) {
+    if (!retries.tryAcquireRetry(job.stage.role)) {
       this._decide(job, 'retry', 'refused', 'the retry budget is spent', '')
       return Effect.fail(createFailure(job, outcome.error, 'stageFailed'))
     }
--- a/src/services/pipeline/test/fakes.ts
+++ b/src/services/pipeline/test/fakes.ts
@@ -129,7 +129,7 @@
     clock,
     adapter,
     scheduler,
-    retries: new RetryBudget({ share: options.retryShare ?? 0.1 }),
+    retries: new RetryBudget({ retryRatio: options.retryShare ?? 0.1 }),
     decisions,
     maySend: () => pause.maySend,
     waitUntilMaySend: async () => {
--- a/src/services/preparation/common/targetPlanner.ts
+++ b/src/services/preparation/common/targetPlanner.ts
@@ -179,7 +179,7 @@
     const expectedMs = estimatePrefillMs(target, tokens)
     const assignment = { targetId, tokens, tokensAhead: target.pendingTokens, assignedAt: now, overdueAt: now + expectedMs * OVERDUE_FACTOR + OVERDUE_EXTRA_MS }
     this._assignments.set(jobId, assignment)
-    this._buckets.get(targetId)?.take(now)
+    this._buckets.get(targetId)?.tryAcquire(now)
     target.pendingTokens += tokens
     target.awaitingFirstEvent.add(assignment)
     this._prefixes.add(shape.shared, targetId, now)
--- a/src/services/preparation/node/coordinatorLink.ts
+++ b/src/services/preparation/node/coordinatorLink.ts
@@ -9,7 +9,7 @@
 import { Emitter } from '../../../base/common/event.ts'
 import { FrameConnection } from '../../../base/node/frameConnection.ts'
 import { startInterval } from '../../../base/node/interval.ts'
-import type { ToldLimit } from '../../quota/common/toldLimits.ts'
+import type { PeerReportedLimit } from '../../quota/common/peerReportedLimits.ts'
 import type { JobUpdate } from '../common/plannedCall.ts'
 import { checkPreparationMessage } from '../common/preparationMessage.ts'
 import type { PreparationMessage } from '../common/preparationMessage.ts'
@@ -107,7 +107,7 @@
   }
 
   /** Asks for permission to send one request to an upstream. Liveness is checked until the answer arrives. */
-  askQuota (id: number, upstreamId: string, limit: ToldLimit | undefined): void {
+  askQuota (id: number, upstreamId: string, limit: PeerReportedLimit | undefined): void {
     this._openQuotaRequestCount++
     this.send({ kind: 'quotaWanted', id, upstreamId, limit })
   }
--- a/src/services/preparation/node/planShard.ts
+++ b/src/services/preparation/node/planShard.ts
@@ -2,7 +2,7 @@
  * One plan of a coordinator, and the state that the coordinator keeps for each job.
  */
 import type { GenerationWork } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
-import type { LimitSource } from '../../quota/common/limitSource.ts'
+import type { RateLimitSource } from '../../quota/common/rateLimitSource.ts'
 import type { RelayTable } from '../../relay/common/relayTable.ts'
 import type { UpstreamEntry, UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import { PreparationPlanner } from '../common/preparationPlanner.ts'
@@ -11,7 +11,7 @@
   readonly registry: UpstreamRegistry
   readonly getTable: () => RelayTable | undefined
   /** The rate limits of upstreams; without it no upstream is limited. */
-  readonly limits?: LimitSource
+  readonly limits?: RateLimitSource
 }
 
 /** The plan for the upstreams of one hall, or for all upstreams if the hall is empty. */
@@ -24,8 +24,8 @@
   constructor (readonly hall: string, { registry, getTable, limits }: PlanShardOptions) {
     this.planner = new PreparationPlanner(role => {
       const msPerMovedToken = computeTransferMsPerToken(getTable()?.getRole(role)?.generationWork)
-      return registry.listAvailable(role).filter(entry => this.isInScope(entry)).map(entry => ({ id: entry.id, hall: entry.hall, msPerMovedToken, limit: limits?.find(entry) }))
-    }, (role, homeHalls) => registry.listAvailable(role).some(entry => homeHalls?.includes(entry.hall) !== false && limits?.find(entry) === undefined))
+      return registry.listAvailable(role).filter(entry => this.isInScope(entry)).map(entry => ({ id: entry.id, hall: entry.hall, msPerMovedToken, limit: limits?.findLimit(entry) }))
+    }, (role, homeHalls) => registry.listAvailable(role).some(entry => homeHalls?.includes(entry.hall) !== false && limits?.findLimit(entry) === undefined))
   }
 
   isInScope (entry: UpstreamEntry): boolean {
--- a/src/services/preparation/node/preparationCoordinator.ts
+++ b/src/services/preparation/node/preparationCoordinator.ts
@@ -6,7 +6,7 @@
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
 import type { IDisposable } from '../../../base/common/disposable.ts'
 import type { ILogService } from '../../log/node/logger.ts'
-import type { LimitSource } from '../../quota/common/limitSource.ts'
+import type { RateLimitSource } from '../../quota/common/rateLimitSource.ts'
 import type { RelayTable } from '../../relay/common/relayTable.ts'
 import type { SendGuard } from '../../upstream/node/sendGuard.ts'
 import type { UpstreamChange, UpstreamEntry, UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
@@ -24,7 +24,7 @@
   readonly protocol: PieceProtocol
   readonly registry: UpstreamRegistry
   readonly getTable: () => RelayTable | undefined
-  readonly limits?: LimitSource
+  readonly limits?: RateLimitSource
   /** Checked before a call is written to the connection; without a guard every call is sent. */
   readonly guard?: SendGuard
 }
--- a/src/services/preparation/node/preparationServer.ts
+++ b/src/services/preparation/node/preparationServer.ts
@@ -5,18 +5,18 @@
 import type { FrameConnection } from '../../../base/node/frameConnection.ts'
 import type { ILogService } from '../../log/node/logger.ts'
 import { FrameServer } from '../../rpc/node/frameServer.ts'
-import type { QuotaGrant } from '../../quota/common/quotaOwner.ts'
-import type { ToldLimit } from '../../quota/common/toldLimits.ts'
+import type { QuotaDecision } from '../../quota/common/quotaOwner.ts'
+import type { PeerReportedLimit } from '../../quota/common/peerReportedLimits.ts'
 import { checkPreparationMessage } from '../common/preparationMessage.ts'
 import type { PreparationMessage } from '../common/preparationMessage.ts'
 import type { PreparationCoordinator } from './preparationCoordinator.ts'
 
 /** Decides whether a node may send one request to an upstream, identified by the id of its process instance. */
-export type QuotaHandler = (upstreamId: string, limit: ToldLimit | undefined) => QuotaGrant
+export type QuotaHandler = (upstreamId: string, limit: PeerReportedLimit | undefined) => QuotaDecision
 
 /** Upper bound for retry times in answers: the wire format has no infinite number. */
 const MAX_QUOTA_RETRY_MS = 10_000
-const QUOTA_UNAVAILABLE: QuotaGrant = { isGranted: false, retryInMs: MAX_QUOTA_RETRY_MS }
+const QUOTA_UNAVAILABLE: QuotaDecision = { isGranted: false, retryInMs: MAX_QUOTA_RETRY_MS }
 
 export class PreparationServer extends Disposable {
   private readonly _server = this._register(new FrameServer(connection => this._accept(connection)))
--- a/src/services/quota/common/quota.ts
+++ b/src/services/quota/common/quota.ts
@@ -14,5 +14,5 @@
    */
   acquire (entry: UpstreamEntry, request: string): Promise<boolean>
   /** Returns the delay in ms after which a caller should retry when none of these upstreams accepts its request. */
-  scheduleReturn (role: string, entries: readonly UpstreamEntry[]): number
+  scheduleRetryAfter (role: string, entries: readonly UpstreamEntry[]): number
 }
--- a/src/services/quota/common/quotaOwner.ts
+++ b/src/services/quota/common/quotaOwner.ts
@@ -5,27 +5,27 @@
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
-import type { LimitSource } from './limitSource.ts'
+import type { RateLimitSource } from './rateLimitSource.ts'
 import { TokenBucket } from './tokenBucket.ts'
 import type { RateLimit } from './tokenBucket.ts'
 
 export interface QuotaOwnerOptions {
   readonly clock: IClock
-  readonly limits: LimitSource
+  readonly limits: RateLimitSource
   /** Returns whether this node owns the quotas of a hall's upstreams, according to its current view of the membership. */
   readonly isOwner: (hall: string) => boolean
   /** How long a new owner waits before it grants the first request. */
-  readonly settleMs?: number
+  readonly takeoverDelayMs?: number
 }
 
 /** The owner's answer to one query. */
-export interface QuotaGrant {
+export interface QuotaDecision {
   readonly isGranted: boolean
   /** Delay in ms before the next query makes sense. */
   readonly retryInMs: number
 }
 
-export const GRANTED: QuotaGrant = { isGranted: true, retryInMs: 0 }
+export const GRANTED: QuotaDecision = { isGranted: true, retryInMs: 0 }
 /** Requests granted by the previous owner have arrived at the upstream within this time. */
 const DEFAULT_TAKEOVER_DELAY_MS = 1400
 /** Another node owns the quota, or this node is about to become the owner. */
@@ -40,7 +40,7 @@
 
   constructor (options: QuotaOwnerOptions) {
     this._options = options
-    this._takeoverDelayMs = options.settleMs ?? DEFAULT_TAKEOVER_DELAY_MS
+    this._takeoverDelayMs = options.takeoverDelayMs ?? DEFAULT_TAKEOVER_DELAY_MS
   }
 
   /** Requests denied since the process started. */
@@ -49,20 +49,20 @@
   }
 
   /** Updates which of the halls this node owns. */
-  refresh (halls: Iterable<string>): void {
+  refreshOwnership (halls: Iterable<string>): void {
     const now = this._options.clock.now()
     for (const hall of halls) this._updateOwnership(hall, now)
   }
 
   /** Drops all ownership state. To be called after a pause of this process, during which other nodes may have become owners. */
-  forgetOwned (): void {
+  resetOwnership (): void {
     this._ownedSince.clear()
     this._buckets.clear()
   }
 
-  acquire (entry: UpstreamEntry): QuotaGrant {
+  acquire (entry: UpstreamEntry): QuotaDecision {
     const now = this._options.clock.now()
-    const limit = this._options.limits.find(entry)
+    const limit = this._options.limits.findLimit(entry)
     if (limit === undefined) {
       this._buckets.delete(entry.id)
       return GRANTED
@@ -71,14 +71,14 @@
     if (ownedSince === undefined) return this._deny(NOT_OWNER_RETRY_MS)
     if (now - ownedSince < this._takeoverDelayMs) return this._deny(this._takeoverDelayMs - (now - ownedSince))
     const bucket = this._getBucket(entry, limit, now)
-    return bucket.take(now) ? GRANTED : this._deny(bucket.getWaitMs(now))
+    return bucket.tryAcquire(now) ? GRANTED : this._deny(bucket.getWaitMs(now))
   }
 
   removeUpstream (upstream: string): void {
     this._buckets.delete(upstream)
   }
 
-  private _deny (retryInMs: number): QuotaGrant {
+  private _deny (retryInMs: number): QuotaDecision {
     this._deniedCount++
     return { isGranted: false, retryInMs }
   }
--- a/src/services/quota/common/limitSource.ts
+++ b/src/services/quota/common/rateLimitSource.ts
@@ -5,9 +5,9 @@
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { RateLimit } from './tokenBucket.ts'
 
-export abstract class LimitSource {
+export abstract class RateLimitSource {
   /** Returns undefined if the source sets no limit for the upstream. */
-  abstract find (entry: UpstreamEntry): RateLimit | undefined
+  abstract findLimit (entry: UpstreamEntry): RateLimit | undefined
 }
 
 /**
@@ -20,24 +20,24 @@
 const BURST_WINDOW_S = 0.5
 
 /** Limits that upstreams state in their answers. */
-export class StatedLimits extends LimitSource {
+export class StatedLimits extends RateLimitSource {
   constructor (private readonly _findStatedPerS: (upstream: string) => number | undefined) {
     super()
   }
 
-  find ({ id }: UpstreamEntry): RateLimit | undefined {
+  findLimit ({ id }: UpstreamEntry): RateLimit | undefined {
     const statedPerS = this._findStatedPerS(id)
     return statedPerS === undefined ? undefined : { perS: Math.max(MIN_REQUESTS_PER_S, statedPerS), burst: BASE_BURST + statedPerS * BURST_WINDOW_S }
   }
 }
 
-export interface ColdLimitsOptions {
+export interface ColdStartLimitsOptions {
   readonly clock: IClock
   /** The most requests that one cold upstream of a role may receive in any second from all nodes; Infinity for no limit. */
-  readonly getBound: (role: string) => number
+  readonly getMaxRequestsPerS: (role: string) => number
   /** Counts the nodes known to this one, including those that cannot be reached. */
-  readonly countKnown: () => number
-  readonly countLive: () => number
+  readonly countKnownNodes: () => number
+  readonly countLiveNodes: () => number
 }
 
 /** Requests sent within this span may arrive within one second, because slow connection setup delays some of them. */
@@ -47,40 +47,40 @@
 const MAX_COLD_BURST = 2
 
 /** Limits for upstreams that have just started or have empty caches, which would be overloaded by more requests. */
-export class ColdLimits extends LimitSource {
-  private readonly _options: ColdLimitsOptions
+export class ColdStartLimits extends RateLimitSource {
+  private readonly _options: ColdStartLimitsOptions
 
-  constructor (options: ColdLimitsOptions) {
+  constructor (options: ColdStartLimitsOptions) {
     super()
     this._options = options
   }
 
-  find ({ coldUntil = 0, role }: UpstreamEntry): RateLimit | undefined {
-    const { clock, getBound, countKnown, countLive } = this._options
+  findLimit ({ coldUntil = 0, role }: UpstreamEntry): RateLimit | undefined {
+    const { clock, getMaxRequestsPerS: getMaxRequestsPerS, countKnownNodes: countKnownNodes, countLiveNodes: countLiveNodes } = this._options
     if (coldUntil <= clock.now()) return undefined
-    const maxPerS = getBound(role)
+    const maxPerS = getMaxRequestsPerS(role)
     if (!Number.isFinite(maxPerS)) return undefined
     // In a network partition, each side has its own owner. An owner grants only the fraction of the limit that corresponds
     // to the fraction of nodes on its side.
-    const reachableRatio = Math.min(1, countLive() / Math.max(1, countKnown()))
+    const reachableRatio = Math.min(1, countLiveNodes() / Math.max(1, countKnownNodes()))
     const maxInWindow = maxPerS * OWNER_SHARE * reachableRatio
     const burst = Math.min(MAX_COLD_BURST, maxInWindow)
-    return { burst, perS: (maxInWindow - burst) / ARRIVAL_WINDOW_S, until: coldUntil }
+    return { burst, perS: (maxInWindow - burst) / ARRIVAL_WINDOW_S, expiresAt: coldUntil }
   }
 }
 
 /** Combines several sources: the lowest rate and the smallest burst apply. */
-export class AllLimits extends LimitSource {
-  constructor (private readonly _sources: readonly LimitSource[]) {
+export class CombinedLimits extends RateLimitSource {
+  constructor (private readonly _sources: readonly RateLimitSource[]) {
     super()
   }
 
-  find (entry: UpstreamEntry): RateLimit | undefined {
+  findLimit (entry: UpstreamEntry): RateLimit | undefined {
     return this._sources.reduce<RateLimit | undefined>((tightest, source) => {
-      const limit = source.find(entry)
+      const limit = source.findLimit(entry)
       if (tightest === undefined || limit === undefined) return tightest ?? limit
-      const until = limit.until === undefined || tightest.until === undefined ? undefined : Math.max(limit.until, tightest.until)
-      return { perS: Math.min(limit.perS, tightest.perS), burst: Math.min(limit.burst, tightest.burst), until }
+      const expiresAt = limit.expiresAt === undefined || tightest.expiresAt === undefined ? undefined : Math.max(limit.expiresAt, tightest.expiresAt)
+      return { perS: Math.min(limit.perS, tightest.perS), burst: Math.min(limit.burst, tightest.burst), expiresAt: expiresAt }
     }, undefined)
   }
 }
--- a/src/services/quota/common/tokenBucket.ts
+++ b/src/services/quota/common/tokenBucket.ts
@@ -7,7 +7,7 @@
   /** The most requests that may be sent at one moment: the capacity of the bucket. */
   readonly burst: number
   /** When the limit ends, in ms on this process's clock; undefined if unknown. */
-  readonly until?: number | undefined
+  readonly expiresAt?: number | undefined
 }
 
 const MS_PER_S = 1000
@@ -33,7 +33,7 @@
     this._tokens = Math.min(this._tokens, limit.burst)
   }
 
-  take (now: number): boolean {
+  tryAcquire (now: number): boolean {
     this._addTokens(now)
     if (this._tokens < 1 - EPSILON) return false
     this._tokens--
--- a/src/services/quota/node/quotaService.ts
+++ b/src/services/quota/node/quotaService.ts
@@ -6,40 +6,40 @@
 import type { ILogService } from '../../log/node/logger.ts'
 import type { CoordinatorLinks } from '../../preparation/node/coordinatorLinks.ts'
 import type { UpstreamEntry, UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
-import type { LimitSource } from '../common/limitSource.ts'
+import type { RateLimitSource } from '../common/rateLimitSource.ts'
 import type { IQuotaService } from '../common/quota.ts'
-import type { QuotaGrant, QuotaOwner } from '../common/quotaOwner.ts'
-import { RetryAfterSchedule } from '../common/returnSchedule.ts'
-import type { ToldLimit } from '../common/toldLimits.ts'
+import type { QuotaDecision, QuotaOwner } from '../common/quotaOwner.ts'
+import { RetryAfterSchedule } from '../common/retryAfterSchedule.ts'
+import type { PeerReportedLimit } from '../common/peerReportedLimits.ts'
 
 export interface QuotaServiceOptions {
   readonly clock: IClock
   readonly log: ILogService
   readonly registry: UpstreamRegistry
-  readonly limits: LimitSource
+  readonly limits: RateLimitSource
   /**
    * The limits that this node reports to owners. Limits reported by other nodes must not be among them, or two nodes that
    * query each other would keep renewing each other's reports. Defaults to all limits.
    */
-  readonly known?: LimitSource
+  readonly localLimits?: RateLimitSource
   /** Grants requests for the halls whose quotas this node owns. */
   readonly owner: QuotaOwner
   readonly links: CoordinatorLinks
   /** Returns the address of the owner of a hall's quotas, or undefined if that is this node. */
-  readonly findOwner: (hall: string) => string | undefined
+  readonly findOwnerAddress: (hall: string) => string | undefined
   readonly countNodes: () => number
 }
 
 /** A node in another hall normally answers within a few milliseconds. */
 const RESPONSE_TIMEOUT_MS = 150
-const OWNER_UNREACHABLE: QuotaGrant = { isGranted: false, retryInMs: 200 }
+const OWNER_UNREACHABLE: QuotaDecision = { isGranted: false, retryInMs: 200 }
 /** Limits change, so the quota is requested again after at most this time, even if the owner gave a longer delay. */
 const MAX_DENIAL_MS = 1000
 
 export class QuotaService extends Disposable implements IQuotaService {
   private readonly _options: QuotaServiceOptions
   private readonly _deniedUntil = new Map<string, number>()
-  private readonly _pendingQueries = new Map<number, (decision: QuotaGrant) => void>()
+  private readonly _pendingQueries = new Map<number, (decision: QuotaDecision) => void>()
   private readonly _retryAfterSchedule = new RetryAfterSchedule()
   private _nextId = 1
 
@@ -53,7 +53,7 @@
   }
 
   isLimited (entry: UpstreamEntry): boolean {
-    return this._options.limits.find(entry) !== undefined
+    return this._options.limits.findLimit(entry) !== undefined
   }
 
   getWaitMs (entry: UpstreamEntry): number {
@@ -63,26 +63,26 @@
   async acquire (entry: UpstreamEntry, request: string): Promise<boolean> {
     if (!this.isLimited(entry)) return true
     if (this.getWaitMs(entry) > 0) return false
-    const address = this._options.findOwner(entry.hall)
+    const address = this._options.findOwnerAddress(entry.hall)
     const decision = address === undefined ? this._options.owner.acquire(entry) : await this._queryOwner(address, entry)
     const { isGranted, retryInMs } = decision
     if (!isGranted) this._deniedUntil.set(entry.id, this._options.clock.now() + Math.min(retryInMs, MAX_DENIAL_MS))
-    this._options.log.info('quota_asked', { request, upstream: entry.id, owner: address ?? 'own', granted: isGranted, per_s: this._options.limits.find(entry)?.perS ?? 'none', retry_in_ms: Math.round(Math.min(retryInMs, MAX_DENIAL_MS)) })
+    this._options.log.info('quota_asked', { request, upstream: entry.id, owner: address ?? 'own', granted: isGranted, per_s: this._options.limits.findLimit(entry)?.perS ?? 'none', retry_in_ms: Math.round(Math.min(retryInMs, MAX_DENIAL_MS)) })
     return isGranted
   }
 
-  scheduleReturn (role: string, entries: readonly UpstreamEntry[]): number {
+  scheduleRetryAfter (role: string, entries: readonly UpstreamEntry[]): number {
     const { clock, limits, countNodes } = this._options
     const now = clock.now()
     const earliestMs = Math.min(MAX_DENIAL_MS, ...entries.map(entry => this.getWaitMs(entry)))
-    const rateLimits = entries.map(entry => limits.find(entry))
+    const rateLimits = entries.map(entry => limits.findLimit(entry))
     const perS = rateLimits.reduce((sum, limit) => sum + (limit?.perS ?? 0), 0) / countNodes()
-    const limitEndsInMs = Math.min(...rateLimits.map(limit => limit?.until === undefined ? Infinity : limit.until - now))
+    const limitEndsInMs = Math.min(...rateLimits.map(limit => limit?.expiresAt === undefined ? Infinity : limit.expiresAt - now))
     return this._retryAfterSchedule.schedule({ role, earliestMs, perS, limitEndsInMs }, now)
   }
 
   /** The timeout includes the time to open a link, since the request may be sent to another upstream instead. */
-  private _queryOwner (address: string, entry: UpstreamEntry): Promise<QuotaGrant> {
+  private _queryOwner (address: string, entry: UpstreamEntry): Promise<QuotaDecision> {
     const id = this._nextId++
     return new Promise(resolve => {
       const timer = this._options.clock.schedule(RESPONSE_TIMEOUT_MS, () => this._completeQuery(id, OWNER_UNREACHABLE))
@@ -100,14 +100,14 @@
     else if (this._pendingQueries.has(id)) link.askQuota(id, entry.id, this._findLocalLimit(entry))
   }
 
-  private _findLocalLimit (entry: UpstreamEntry): ToldLimit | undefined {
-    const { limits, known = limits } = this._options
-    const limit = known.find(entry)
+  private _findLocalLimit (entry: UpstreamEntry): PeerReportedLimit | undefined {
+    const { limits, localLimits: localLimits = limits } = this._options
+    const limit = localLimits.findLimit(entry)
     return limit === undefined ? undefined : { perS: limit.perS, burst: limit.burst }
   }
 
   /** Ignores answers that arrive after the timeout. */
-  private _completeQuery (id: number, decision: QuotaGrant): void {
+  private _completeQuery (id: number, decision: QuotaDecision): void {
     const complete = this._pendingQueries.get(id)
     this._pendingQueries.delete(id)
     complete?.(decision)
--- a/src/services/quota/node/rateLimitService.ts
+++ b/src/services/quota/node/rateLimitService.ts
@@ -8,8 +8,8 @@
 import { isFactOf } from '../../facts/common/factStore.ts'
 import type { FactStore, HeldFactOf } from '../../facts/common/factStore.ts'
 import type { ILogService } from '../../log/node/logger.ts'
-import { RateLimitTable } from '../common/rateLimitBook.ts'
-import type { ObservedRateLimit } from '../common/rateLimitBook.ts'
+import { RateLimitTable } from '../common/rateLimitTable.ts'
+import type { ObservedRateLimit } from '../common/rateLimitTable.ts'
 
 export interface RateLimitServiceOptions {
   readonly clock: IClock
@@ -45,7 +45,7 @@
   }
 
   /** Records the limit stated in an answer, in requests per second; undefined if the upstream stated that it has none. */
-  note (upstream: string, perS: number | undefined): void {
+  recordLimit (upstream: string, perS: number | undefined): void {
     const observedAt = this._options.clock.now()
     const known = this._table.get(upstream)
     const ageMs = observedAt - (known?.observedAt ?? -Infinity)
--- a/src/services/quota/node/limitedPieces.ts
+++ b/src/services/quota/node/rateLimitedPieceCalls.ts
@@ -7,7 +7,7 @@
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 import type { IQuotaService } from '../common/quota.ts'
 
-export class LimitedPieces extends PieceProtocol {
+export class RateLimitedPieceCalls extends PieceProtocol {
   constructor (private readonly _inner: PieceProtocol, private readonly _quota: IQuotaService) {
     super()
     _inner.onDidReceiveStatement(stated => this._onDidReceiveStatement.fire(stated))
--- a/src/services/quota/test/quotaOwner.test.ts
+++ b/src/services/quota/test/quotaOwner.test.ts
@@ -2,9 +2,9 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { VirtualClock } from '../../../base/common/clock.ts'
-import { AllLimits, StatedLimits } from '../common/limitSource.ts'
+import { CombinedLimits, StatedLimits } from '../common/rateLimitSource.ts'
 import { QuotaOwner } from '../common/quotaOwner.ts'
-import { ToldLimits } from '../common/toldLimits.ts'
+import { PeerReportedLimits } from '../common/peerReportedLimits.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
 
 const test = suite('quotaOwner')
@@ -32,7 +32,7 @@
   readonly owner: QuotaOwner
 
   constructor (clock: VirtualClock, readonly getLimit: () => number | undefined, delayMs = TAKEOVER_DELAY_MS) {
-    this.owner = new QuotaOwner({ clock, limits: new StatedLimits(getLimit), isOwner: () => this.isOwner, settleMs: delayMs })
+    this.owner = new QuotaOwner({ clock, limits: new StatedLimits(getLimit), isOwner: () => this.isOwner, takeoverDelayMs: delayMs })
   }
 }
 
@@ -69,7 +69,7 @@
     const run = (forMs: number) => {
       for (let passed = 0; passed < forMs; passed += STEP_MS) {
         for (const { owner } of nodes) {
-          owner.refresh(HALLS)
+          owner.refreshOwnership(HALLS)
           if (owner.acquire(UPSTREAM).isGranted) grantedAt.push(clock.now())
         }
         clock.advance(STEP_MS)
@@ -92,10 +92,10 @@
   const node = new FakeOwnerNode(clock, () => 4)
   assert.not(node.owner.acquire(UPSTREAM).isGranted)
   node.isOwner = true
-  node.owner.refresh(HALLS)
+  node.owner.refreshOwnership(HALLS)
   clock.advance(TAKEOVER_DELAY_MS)
   assert.ok(node.owner.acquire(UPSTREAM).isGranted)
-  node.owner.forgetOwned()
+  node.owner.resetOwnership()
   assert.equal(node.owner.acquire(UPSTREAM), { isGranted: false, retryInMs: TAKEOVER_DELAY_MS })
 })
 
@@ -103,17 +103,17 @@
 // querying nodes knew to be cold.
 test('an owner that does not know of a limit applies the one that the querying nodes report', () => {
   const clock = new VirtualClock()
-  const reported = new ToldLimits(clock)
-  const owner = new QuotaOwner({ clock, limits: new AllLimits([new StatedLimits(() => undefined), reported]), isOwner: () => true, settleMs: 0 })
+  const reported = new PeerReportedLimits(clock)
+  const owner = new QuotaOwner({ clock, limits: new CombinedLimits([new StatedLimits(() => undefined), reported]), isOwner: () => true, takeoverDelayMs: 0 })
   const grantedAt: number[] = []
   for (; clock.now() < WINDOW_MS; clock.advance(STEP_MS)) {
-    reported.note(UPSTREAM.id, { perS: 4, burst: 2 })
+    reported.record(UPSTREAM.id, { perS: 4, burst: 2 })
     if (owner.acquire(UPSTREAM).isGranted) grantedAt.push(clock.now())
   }
   assert.ok(grantedAt.length >= 0.9 * 4 * WINDOW_MS / MS_PER_S && countMaxInWindow(grantedAt) <= computeMaxRequests(4), `${grantedAt.length} granted`)
-  assert.is(reported.find({ ...UPSTREAM, id: 'v' }), undefined)
+  assert.is(reported.findLimit({ ...UPSTREAM, id: 'v' }), undefined)
   clock.advance(2000)
-  assert.is(reported.find(UPSTREAM), undefined)
+  assert.is(reported.findLimit(UPSTREAM), undefined)
   assert.ok(owner.acquire(UPSTREAM).isGranted)
 })
 
--- a/src/services/quota/test/quotaService.test.ts
+++ b/src/services/quota/test/quotaService.test.ts
@@ -10,10 +10,10 @@
 import type { PieceCallOutcome } from '../../preparation/common/plannedCall.ts'
 import { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { UpstreamEntry } from '../../upstream/common/upstreamRegistry.ts'
-import { StatedLimits } from '../common/limitSource.ts'
+import { StatedLimits } from '../common/rateLimitSource.ts'
 import { QuotaOwner } from '../common/quotaOwner.ts'
-import { RetryAfterSchedule } from '../common/returnSchedule.ts'
-import { LimitedPieces } from '../node/limitedPieces.ts'
+import { RetryAfterSchedule } from '../common/retryAfterSchedule.ts'
+import { RateLimitedPieceCalls } from '../node/rateLimitedPieceCalls.ts'
 import { QuotaService } from '../node/quotaService.ts'
 
 const test = suite('quotaService')
@@ -44,7 +44,7 @@
   const registry = new UpstreamRegistry()
   registry.update(UPSTREAM, 'test')
   const limits = new StatedLimits(getLimit)
-  const owner = new QuotaOwner({ clock, limits, isOwner: () => true, settleMs: 0 })
+  const owner = new QuotaOwner({ clock, limits, isOwner: () => true, takeoverDelayMs: 0 })
   const coordinator = new PreparationCoordinator({ clock, log, protocol: new CountingPieces(), registry, getTable: () => undefined })
   const server = new PreparationServer(coordinator, log, upstream => owner.acquire(registry.get(upstream) ?? UPSTREAM))
   const port = await server.listen('127.0.0.1', 0)
@@ -53,7 +53,7 @@
   const parts = Array.from({ length: NODES }, () => {
     const links = new CoordinatorLinks({ clock, log })
     const own = new QuotaOwner({ clock, limits, isOwner: () => false })
-    return { links, service: new QuotaService({ clock, log, registry, limits, owner: own, links, findOwner: () => address, countNodes: () => NODES }) }
+    return { links, service: new QuotaService({ clock, log, registry, limits, owner: own, links, findOwnerAddress: () => address, countNodes: () => NODES }) }
   })
   try {
     await run(parts.map(({ service }) => service), relay)
@@ -90,7 +90,7 @@
 test('calls that compute pieces or free results count against the limit', () => runFleet(() => 1, async ([node]) => {
   assert.ok(node !== undefined)
   const pieces = new CountingPieces()
-  const limited = new LimitedPieces(pieces, node)
+  const limited = new RateLimitedPieceCalls(pieces, node)
   assert.is((await limited.runPieces(UPSTREAM, [], { timeoutMs: 100 })).kind, 'answered')
   const second = await limited.runPieces(UPSTREAM, [], { timeoutMs: 100 })
   assert.ok(second.kind === 'notRun' && second.reason === 'limited' && second.retryInMs > 0)
@@ -99,7 +99,7 @@
 }))
 
 test('callers that no upstream accepts are given successive retry times', () => runFleet(() => 2, ([node]) => {
-  const times = Array.from({ length: 3 }, () => node?.scheduleReturn('r', [UPSTREAM]) ?? 0)
+  const times = Array.from({ length: 3 }, () => node?.scheduleRetryAfter('r', [UPSTREAM]) ?? 0)
   const [first = 0, second = 0, third = 0] = times
   assert.ok(second - first > 3000 && third > second, times.join(' '))
   return Promise.resolve()
--- a/src/services/quota/test/rateLimitService.test.ts
+++ b/src/services/quota/test/rateLimitService.test.ts
@@ -29,7 +29,7 @@
     const clock = new VirtualClock()
     const nodes = ['a', 'b', 'c'].map(node => createNode(clock, node))
     for (const { node, perS } of stated) {
-      nodes[node]?.limits.note('u', perS)
+      nodes[node]?.limits.recordLimit('u', perS)
       clock.advance(1000)
     }
     const all = nodes.flatMap(({ facts }) => listFacts(facts))
@@ -46,12 +46,12 @@
   const clock = new VirtualClock()
   const { facts, limits } = createNode(clock, 'a')
   for (let count = 0; count < 100; count++) {
-    limits.note('u', 2)
+    limits.recordLimit('u', 2)
     clock.advance(100)
   }
   assert.is(facts.sequence, 1)
   clock.advance(60_000)
-  limits.note('u', 2)
+  limits.recordLimit('u', 2)
   assert.is(facts.sequence, 2)
 })
 
@@ -59,7 +59,7 @@
   const clock = new VirtualClock()
   const [first, second] = ['a', 'b'].map(node => createNode(clock, node))
   assert.ok(first && second)
-  first.limits.note('u', 0.25)
+  first.limits.recordLimit('u', 0.25)
   clock.advance(40)
   for (const fact of listFacts(first.facts)) second.facts.merge(fact, 'n:1')
   assert.ok(second.lines.some(line => line.includes('event=rate_limit_changed upstream=u per_s=0.25 before=none source=n:1 age_ms=40')))
--- a/src/services/relay/node/relayRun.ts
+++ b/src/services/relay/node/relayRun.ts
@@ -218,14 +218,14 @@
       onDidReadStatements: statements => context.recordStatements({ upstream: upstream.id, statements }),
       onDidReadLoad: load => context.pool.recordLoad(upstream, load),
       onDidReceiveFirstOutput: () => {
-        if (writtenAt !== undefined) context.backoffs.settleSend(upstream.id, writtenAt, true)
+        if (writtenAt !== undefined) context.backoffs.recordSendResult(upstream.id, writtenAt, true)
         this._recordFirstOutput(inFlightRequest, upstream)
       },
       localAddress: context.localAddress
     }).run()
     this._isAttemptActive = false
     if (isWithheld(result.outcome)) this._withdrawSend(upstream)
-    if (writtenAt !== undefined) context.backoffs.settleSend(upstream.id, writtenAt, isAccepted(result.outcome))
+    if (writtenAt !== undefined) context.backoffs.recordSendResult(upstream.id, writtenAt, isAccepted(result.outcome))
     inFlightRequest.end(result.outcome)
     // The upstream did not consume the results, so they stay available to the next attempt.
     if (result.outcome.kind === 'notRun') scheduledRelease?.dispose()
@@ -298,7 +298,7 @@
   private _acquireRetry (outcome: AttemptOutcome): boolean {
     if (this._abortController.signal.aborted) return false
     if (isWithheld(outcome) || (outcome.kind === 'notRun' && outcome.reason === 'unreachable')) return true
-    return this._context.retry.takeRetry(this._role)
+    return this._context.retry.tryAcquireRetry(this._role)
   }
 
   private _finish (result: AttemptResult): RelayOutcome['result'] {
--- a/src/services/relay/node/upstreamSelector.ts
+++ b/src/services/relay/node/upstreamSelector.ts
@@ -72,8 +72,8 @@
     const backingOff = this.listBackingOff()
     const limited = this.listEligible().filter(entry => !backingOff.includes(entry) && quota.isLimited(entry))
     const waitTimesMs = [
-      ...backingOff.length > 0 ? [backoffs.scheduleReturn(role, backingOff)] : [],
-      ...limited.length > 0 ? [quota.scheduleReturn(role, limited)] : []
+      ...backingOff.length > 0 ? [backoffs.scheduleRetryAfter(role, backingOff)] : [],
+      ...limited.length > 0 ? [quota.scheduleRetryAfter(role, limited)] : []
     ]
     return waitTimesMs.length === 0 ? undefined : Math.min(...waitTimesMs)
   }
--- a/src/services/relay/test/coldUpstreams.test.ts
+++ b/src/services/relay/test/coldUpstreams.test.ts
@@ -6,7 +6,7 @@
 import { VirtualClock } from '../../../base/common/clock.ts'
 import { SeededRandom } from '../../../base/common/random.ts'
 import { TargetPlanner } from '../../preparation/common/targetPlanner.ts'
-import { ColdLimits } from '../../quota/common/limitSource.ts'
+import { ColdStartLimits } from '../../quota/common/rateLimitSource.ts'
 import { QuotaOwner } from '../../quota/common/quotaOwner.ts'
 import { AlwaysHealthyTracker } from '../../health/common/healthTracker.ts'
 import { RelayPool } from '../common/relayPool.ts'
@@ -36,12 +36,12 @@
 const STEP_MS = 10
 
 /** Limits as a quota owner sees them that can reach `liveCount` of `nodeCount` nodes. */
-function createLimits (clock: VirtualClock, nodeCount: number, liveCount = nodeCount): ColdLimits {
-  return new ColdLimits({ clock, getBound: () => BOUND, countKnown: () => nodeCount, countLive: () => liveCount })
+function createLimits (clock: VirtualClock, nodeCount: number, liveCount = nodeCount): ColdStartLimits {
+  return new ColdStartLimits({ clock, getMaxRequestsPerS: () => BOUND, countKnownNodes: () => nodeCount, countLiveNodes: () => liveCount })
 }
 
-function createOwner (clock: VirtualClock, limits: ColdLimits): QuotaOwner {
-  return new QuotaOwner({ clock, limits, isOwner: () => true, settleMs: 0 })
+function createOwner (clock: VirtualClock, limits: ColdStartLimits): QuotaOwner {
+  return new QuotaOwner({ clock, limits, isOwner: () => true, takeoverDelayMs: 0 })
 }
 
 test('nodes that choose upstreams independently keep the bound in total, and serve every request', () => {
@@ -95,9 +95,9 @@
   const [cold, warm] = ['u1', 'u0'].map(id => createRegistry().get(id))
   assert.ok(cold && warm)
   assert.ok(countGrants({ nodeCount: 89 }, 'u1') >= 5)
-  assert.is(limits.find(warm), undefined)
+  assert.is(limits.findLimit(warm), undefined)
   clock.advance(COLD_MS)
-  assert.is(limits.find(cold), undefined)
+  assert.is(limits.findLimit(cold), undefined)
 })
 
 test('a planner assigns requests to a limited upstream at its rate', () => {
--- a/src/services/relay/test/fakes.ts
+++ b/src/services/relay/test/fakes.ts
@@ -21,7 +21,7 @@
 import type { IPreparationService } from '../../preparation/common/preparationService.ts'
 import { ReleaseDelay } from '../../preparation/common/releaseDelay.ts'
 import { CoordinatorLinks } from '../../preparation/node/coordinatorLinks.ts'
-import { StatedLimits } from '../../quota/common/limitSource.ts'
+import { StatedLimits } from '../../quota/common/rateLimitSource.ts'
 import { QuotaOwner } from '../../quota/common/quotaOwner.ts'
 import { QuotaService } from '../../quota/node/quotaService.ts'
 import { RateLimitService } from '../../quota/node/rateLimitService.ts'
@@ -197,12 +197,12 @@
     }))
     const quarantine = this._register(new QuarantineService({ clock, log, facts, registry: this.registry, node: 'n', incarnation: 1 }))
     const limits = this._register(new RateLimitService({ clock, log, facts, node: 'n', incarnation: 1 }))
-    const statements = this._register(new NodeStatements({ clock, log, registry: this.registry, noteRate: (upstream, perS) => limits.note(upstream, perS) }))
+    const statements = this._register(new NodeStatements({ clock, log, registry: this.registry, noteRate: (upstream, perS) => limits.recordLimit(upstream, perS) }))
     const { backoffs, guard } = statements
     const stated = new StatedLimits(upstream => limits.findLimit(upstream))
     const links = this._register(new CoordinatorLinks({ clock, log }))
-    const owner = new QuotaOwner({ clock, limits: stated, isOwner: () => true, settleMs: 0 })
-    const quota = this._register(new QuotaService({ clock, log, registry: this.registry, limits: stated, owner, links, findOwner: () => undefined, countNodes: () => 1 }))
+    const owner = new QuotaOwner({ clock, limits: stated, isOwner: () => true, takeoverDelayMs: 0 })
+    const quota = this._register(new QuotaService({ clock, log, registry: this.registry, limits: stated, owner, links, findOwnerAddress: () => undefined, countNodes: () => 1 }))
     this.server = this._register(new RelayServer({
       context: {
         clock,
@@ -218,7 +218,7 @@
         backoffs,
         recordStatements: stated => statements.note(stated),
         quota,
-        retry: new RetryBudget({ maxSaved: _options.retries ?? 10 }),
+        retry: new RetryBudget({ maxBalance: _options.retries ?? 10 }),
         preparation: _options.preparation ?? FAILING_PREPARATION,
         releaseDelay: new ReleaseDelay(),
         quarantine
--- a/src/services/retry/common/retryPolicy.ts
+++ b/src/services/retry/common/retryPolicy.ts
@@ -5,23 +5,23 @@
 export abstract class RetryPolicy {
   abstract recordFirstAttempt (role: string): void
   /** Consumes one retry of the budget. Returns false if none is left. */
-  abstract takeRetry (role: string): boolean
+  abstract tryAcquireRetry (role: string): boolean
 }
 
 /** Baseline for comparison: allows as many retries as fit within the deadline. */
 export class UnlimitedRetries extends RetryPolicy {
   recordFirstAttempt (): void {}
 
-  takeRetry (): boolean {
+  tryAcquireRetry (): boolean {
     return true
   }
 }
 
 export interface RetryBudgetOptions {
   /** Retries added to the budget by one first attempt. */
-  readonly share?: number
+  readonly retryRatio?: number
   /** The most retries that a role can accumulate; a function if this depends on the number of processes that share them. */
-  readonly maxSaved?: number | (() => number)
+  readonly maxBalance?: number | (() => number)
 }
 
 export class RetryBudget extends RetryPolicy {
@@ -31,16 +31,16 @@
 
   constructor (options: RetryBudgetOptions = {}) {
     super()
-    this._retryRatio = options.share ?? 0.1
-    const { maxSaved = 10 } = options
-    this._getMaxBalance = typeof maxSaved === 'number' ? () => maxSaved : maxSaved
+    this._retryRatio = options.retryRatio ?? 0.1
+    const { maxBalance: maxBalance = 10 } = options
+    this._getMaxBalance = typeof maxBalance === 'number' ? () => maxBalance : maxBalance
   }
 
   recordFirstAttempt (role: string): void {
     this._balances.set(role, Math.min(this._getMaxBalance(), this._getBalance(role) + this._retryRatio))
   }
 
-  takeRetry (role: string): boolean {
+  tryAcquireRetry (role: string): boolean {
     const balance = this._getBalance(role)
     if (balance < 1) return false
     this._balances.set(role, balance - 1)
--- a/src/services/retry/common/windowedRetries.ts
+++ b/src/services/retry/common/windowedRetryBudget.ts
@@ -6,25 +6,25 @@
 import { SlidingCount } from '../../../base/common/slidingCount.ts'
 import { RetryPolicy } from './retryPolicy.ts'
 
-export interface WindowedRetriesOptions {
+export interface WindowedRetryBudgetOptions {
   readonly clock: IClock
   readonly windowMs: number
   /** Retries allowed for each first attempt within the window. */
-  readonly share: number
+  readonly retryRatio: number
   /** Returns this node's share of the retries that are allowed in a window regardless of the number of first attempts. */
-  readonly getSpare: () => number
+  readonly getBaseRetries: () => number
 }
 
 /** First attempts are counted by slices of the window; a slice that is only partly within the window does not count. */
 const SLICES_PER_WINDOW = 20
 
-export class WindowedRetries extends RetryPolicy {
-  private readonly _options: WindowedRetriesOptions
+export class WindowedRetryBudget extends RetryPolicy {
+  private readonly _options: WindowedRetryBudgetOptions
   /** The number of first attempts by role and index of the slice. */
   private readonly _firstAttempts = new Map<string, Map<number, number>>()
   private readonly _retries: SlidingCount
 
-  constructor (options: WindowedRetriesOptions) {
+  constructor (options: WindowedRetryBudgetOptions) {
     super()
     this._options = options
     this._retries = new SlidingCount(options.windowMs)
@@ -37,10 +37,10 @@
     for (const oldSlice of attempts.keys()) if (oldSlice <= slice - SLICES_PER_WINDOW) attempts.delete(oldSlice)
   }
 
-  takeRetry (role: string): boolean {
-    const { clock, share, getSpare } = this._options
+  tryAcquireRetry (role: string): boolean {
+    const { clock, retryRatio: retryRatio, getBaseRetries: getBaseRetries } = this._options
     const now = clock.now()
-    if (this._retries.count(role, now) + 1 > getSpare() + share * this._countFirstAttempts(role)) return false
+    if (this._retries.count(role, now) + 1 > getBaseRetries() + retryRatio * this._countFirstAttempts(role)) return false
     this._retries.add(role, now)
     return true
   }
--- a/src/services/scheduling/common/upstreamPool.ts
+++ b/src/services/scheduling/common/upstreamPool.ts
@@ -161,7 +161,7 @@
       const state = this.getState(view.upstream.name)
       if (state.health.getState(this._options.clock.now()) === 'probing') continue
       inFlight += state.inFlight
-      part += state.limiter.equalPart
+      part += state.limiter.equalShare
     }
     return inFlight + 1 <= Math.max(1, part)
   }
--- a/src/services/scheduling/common/upstreamState.ts
+++ b/src/services/scheduling/common/upstreamState.ts
@@ -2,7 +2,7 @@
  * What this gate knows of one upstream from its own calls.
  */
 import type { HealthTracker } from '../../health/common/healthTracker.ts'
-import type { ConcurrencyLimiter, RoomInputs } from '../../limits/common/concurrencyLimiter.ts'
+import type { ConcurrencyLimiter, LimiterInputs } from '../../limits/common/concurrencyLimiter.ts'
 import { estimateBacklog } from '../../routing/common/candidate.ts'
 import type { BacklogInputs } from '../../routing/common/candidate.ts'
 import type { UpstreamView } from '../../facts/common/upstreamView.ts'
@@ -51,18 +51,18 @@
 
   /** How many calls this gate may have open now. */
   computeRoom (view: UpstreamView, liveGates: number, now: number, isPreferred: boolean): number {
-    this.limiter.setShare(getCapacity(view), liveGates)
+    this.limiter.updateCapacity(getCapacity(view), liveGates)
     if (this.health.getState(now) === 'probing') return 1
-    return this.limiter.computeRoom({ ...this._createInputs(view, liveGates), isPreferred })
+    return this.limiter.computeAllowedCalls({ ...this._createInputs(view, liveGates), isPreferred })
   }
 
   /** This gate's part of the upstream, in calls. */
   computePart (view: UpstreamView, liveGates: number): number {
-    this.limiter.setShare(getCapacity(view), liveGates)
-    return this.limiter.computePart(this._createInputs(view, liveGates))
+    this.limiter.updateCapacity(getCapacity(view), liveGates)
+    return this.limiter.computeShare(this._createInputs(view, liveGates))
   }
 
-  private _createInputs (view: UpstreamView, liveGates: number): RoomInputs {
+  private _createInputs (view: UpstreamView, liveGates: number): LimiterInputs {
     return { inFlight: this.inFlight, backlog: estimateBacklog(this.describeBacklog(view), liveGates) }
   }
 
