--- a/src/services/pause/node/pauseRecovery.ts
+++ b/src/services/pause/node/pauseRecovery.ts
@@ -38,7 +38,7 @@
 
   /** Records that a peer's clock has gained on this one. This may be the first sign that this machine was suspended. */
   recordPeerClockGain (gainMs: number): void {
-    const { clock, detector: detector, log } = this._options
+    const { clock, detector, log } = this._options
     if (gainMs < CLOCK_TOLERANCE_MS) return
     detector.checkClocks()
     const { timeOfDayJumpMs } = detector
@@ -51,7 +51,7 @@
 
   /** Starts the recovery if a pause was detected. */
   checkForPause (): void {
-    const { detector: detector, log } = this._options
+    const { detector, log } = this._options
     if (!detector.isStale || this._isRecovering) return
     this._isRecovering = true
     log.warn('paused', { pauses: detector.pauseCount, time_of_day_jump_ms: Math.round(detector.timeOfDayJumpMs) })
@@ -59,7 +59,7 @@
   }
 
   private async _completeRecovery (): Promise<void> {
-    const { detector: detector, log, comparePeerClocks: comparePeerClocks, refreshState: refreshState } = this._options
+    const { detector, log, comparePeerClocks, refreshState } = this._options
     await Promise.all([detector.timeOfDayJumpMs > 0 ? comparePeerClocks() : undefined, refreshState()])
     if (detector.timeOfDayJumpMs > 0) {
       log.info('time_of_day_set', { ahead_ms: Math.round(detector.timeOfDayJumpMs) })
--- a/src/services/preparation/common/targetPlanner.ts
+++ b/src/services/preparation/common/targetPlanner.ts
@@ -221,14 +221,14 @@
     return overdueCount < MIN_OVERDUE_REQUESTS
   }
 
-  private _estimateFirstEventMs ({ waitByHall }: TargetQuery, candidate: TargetCandidate, { prefillTokens: prefillTokens, transferTokens }: PrefillPlan): number {
+  private _estimateFirstEventMs ({ waitByHall }: TargetQuery, candidate: TargetCandidate, { prefillTokens, transferTokens }: PrefillPlan): number {
     const target = this._getTarget(candidate.id)
     const transferMs = transferTokens > 0 ? transferTokens * candidate.msPerMovedToken : 0
     return estimatePrefillMs(target, prefillTokens) + transferMs + (waitByHall.get(candidate.hall) ?? 0)
   }
 
   /** Scores the work that the choice causes for the fleet, beyond the time of this request; in milliseconds. */
-  private _scoreWork ({ shape, bytesByHall }: TargetQuery, candidate: TargetCandidate, preferredTarget: string, { prefillTokens: prefillTokens, transferTokens }: PrefillPlan): number {
+  private _scoreWork ({ shape, bytesByHall }: TargetQuery, candidate: TargetCandidate, preferredTarget: string, { prefillTokens, transferTokens }: PrefillPlan): number {
     const longest = shape.shared.slice(-1)
     const sharedTokens = longest[0]?.tokens ?? 0
     const isKnown = this._prefixes.isKnown(longest)
--- a/src/services/quota/common/rateLimitSource.ts
+++ b/src/services/quota/common/rateLimitSource.ts
@@ -56,7 +56,7 @@
   }
 
   findLimit ({ coldUntil = 0, role }: UpstreamEntry): RateLimit | undefined {
-    const { clock, getMaxRequestsPerS: getMaxRequestsPerS, countKnownNodes: countKnownNodes, countLiveNodes: countLiveNodes } = this._options
+    const { clock, getMaxRequestsPerS, countKnownNodes, countLiveNodes } = this._options
     if (coldUntil <= clock.now()) return undefined
     const maxPerS = getMaxRequestsPerS(role)
     if (!Number.isFinite(maxPerS)) return undefined
@@ -80,7 +80,7 @@
       const limit = source.findLimit(entry)
       if (tightest === undefined || limit === undefined) return tightest ?? limit
       const expiresAt = limit.expiresAt === undefined || tightest.expiresAt === undefined ? undefined : Math.max(limit.expiresAt, tightest.expiresAt)
-      return { perS: Math.min(limit.perS, tightest.perS), burst: Math.min(limit.burst, tightest.burst), expiresAt: expiresAt }
+      return { perS: Math.min(limit.perS, tightest.perS), burst: Math.min(limit.burst, tightest.burst), expiresAt }
     }, undefined)
   }
 }
--- a/src/services/quota/node/quotaService.ts
+++ b/src/services/quota/node/quotaService.ts
@@ -101,7 +101,7 @@
   }
 
   private _findLocalLimit (entry: UpstreamEntry): PeerReportedLimit | undefined {
-    const { limits, localLimits: localLimits = limits } = this._options
+    const { limits, localLimits = limits } = this._options
     const limit = localLimits.findLimit(entry)
     return limit === undefined ? undefined : { perS: limit.perS, burst: limit.burst }
   }
--- a/src/services/retry/common/retryPolicy.ts
+++ b/src/services/retry/common/retryPolicy.ts
@@ -32,7 +32,7 @@
   constructor (options: RetryBudgetOptions = {}) {
     super()
     this._retryRatio = options.retryRatio ?? 0.1
-    const { maxBalance: maxBalance = 10 } = options
+    const { maxBalance = 10 } = options
     this._getMaxBalance = typeof maxBalance === 'number' ? () => maxBalance : maxBalance
   }
 
--- a/src/services/retry/common/windowedRetryBudget.ts
+++ b/src/services/retry/common/windowedRetryBudget.ts
@@ -38,7 +38,7 @@
   }
 
   tryAcquireRetry (role: string): boolean {
-    const { clock, retryRatio: retryRatio, getBaseRetries: getBaseRetries } = this._options
+    const { clock, retryRatio, getBaseRetries } = this._options
     const now = clock.now()
     if (this._retries.count(role, now) + 1 > getBaseRetries() + retryRatio * this._countFirstAttempts(role)) return false
     this._retries.add(role, now)
