--- a/src/services/facts/common/fact.ts
+++ b/src/services/facts/common/fact.ts
@@ -1,10 +1,10 @@
 /**
- * Facts: what the system knows of its members, gates and upstreams. Each subject has one writer and a pair of
- * numbers that only grows, so that merging needs no agreement: the larger pair stands.
+ * Facts: the shared state about members, gates and upstreams. Each subject has one writer, and its pair of incarnation and
+ * counter only grows. So facts merge without coordination: the one with the larger pair replaces the other.
  */
 import type { ConfigurationNumber } from '../../configuration/common/configurationNumber.ts'
 
-/** A steward as others see it. The order of the states is their precedence within one incarnation. */
+/** The state of a member as other members see it. The states are listed in ascending precedence within one incarnation. */
 export type MemberState = 'alive' | 'suspect' | 'dead' | 'left'
 
 export interface MemberFact {
@@ -12,81 +12,81 @@
   readonly address: string
   readonly hall: string
   readonly state: MemberState
-  /** How much its host can do, in hundredths of a core; 0 where that is not known. */
+  /** Processing capacity of its host, in hundredths of a core; 0 if unknown. */
   readonly weight: number
 }
 
-/** What a gate says of itself. */
+/** State that a gate reports about itself. */
 export interface GateFact {
   readonly kind: 'gate'
   readonly address: string
   readonly hall: string
   readonly inFlight: number
-  /** Requests taken in lately, fading: it follows the callers that use the gate now. */
+  /** Recently accepted requests, with a decaying count, so that it follows the callers that currently use the gate. */
   readonly recentRequests: number
   readonly draining: boolean
   readonly ready: boolean
   readonly configuration: ConfigurationNumber
 }
 
-/** What an upstream reported last. */
+/** The latest load report of an upstream. */
 export interface LoadFact {
   readonly kind: 'load'
   readonly upstream: string
   readonly running: number
   readonly queued: number
   readonly capacity: number
-  /** Models held, as `name` or `name@version`. */
+  /** Loaded models, as `name` or `name@version`. */
   readonly models: readonly string[]
-  /** The fencing number of the last order the upstream took. */
+  /** The fencing number of the last order that the upstream accepted. */
   readonly fencing: number
-  /** Prefix keys cached lately, as far as the events tell. */
+  /** Recently cached prefix keys, as far as they are known from the upstream's events. */
   readonly prefixes: readonly string[]
 }
 
-/** An upstream incarnation is leaving, for good. */
+/** An upstream incarnation is leaving. This is final for the incarnation. */
 export interface LeavingFact {
   readonly kind: 'leaving'
   readonly upstream: string
   readonly signal: string
 }
 
-/** A run that its writer had at an upstream when that ended. */
+/** A run that the fact's writer had in flight at an upstream when the upstream ended. */
 export interface RunAtEnd {
-  /** What the tries of one request have in common. */
+  /** The digest that all attempts of one request share. */
   readonly digest: string
   readonly bodyBytes: number
-  /** How long before the end it was sent, in milliseconds. */
+  /** How long before the end the run was sent, in milliseconds. */
   readonly sentBeforeMs: number
 }
 
-/** An upstream incarnation ended without having said so, with the writer's runs there; the fact is as old as the end. */
+/** An upstream incarnation ended unannounced, with the writer's runs in flight there. The age of the fact is the time since the end. */
 export interface EndedFact {
   readonly kind: 'ended'
   readonly upstream: string
   readonly runs: readonly RunAtEnd[]
 }
 
-/** Nothing is held against a request for ends before this. */
+/** Ends of upstreams before this fact no longer count as evidence against a request. */
 export interface ClearedFact {
   readonly kind: 'cleared'
   readonly digest: string
-  /** An upstream has answered it; otherwise an operator says so. */
+  /** True if an upstream has answered the request; otherwise an operator cleared it. */
   readonly isServed?: boolean
 }
 
-/** What an operator said last of a hall. The counter is the source's revision of that word, whoever tells of it. */
+/** The latest operator command for a hall. The counter is the source's revision of the command, whichever process writes the fact. */
 export interface EvacuationFact {
   readonly kind: 'evacuation'
   readonly hall: string
   readonly isEvacuated: boolean
 }
 
-/** What an upstream stated last of the rate that it accepts, as its writer heard it; the fact is as old as the answer. */
+/** The request rate that an upstream last stated to the writer. The age of the fact is the time since that answer. */
 export interface LimitFact {
   readonly kind: 'limit'
   readonly upstream: string
-  /** Requests per second; missing where it accepts any number. */
+  /** Requests per second; missing if the upstream accepts any rate. */
   readonly perS?: number | undefined
 }
 
@@ -94,15 +94,15 @@
 
 export interface Fact {
   readonly subject: string
-  /** The boot of what the fact is about. */
+  /** The instance of what the fact is about; it grows with each start. */
   readonly incarnation: number
   readonly counter: number
   readonly value: FactValue
-  /** How old the fact was when it was sent, in milliseconds. */
+  /** Age of the fact when it was sent, in milliseconds. */
   readonly ageMs: number
 }
 
-/** Positive when a goes before b. */
+/** Returns a positive number if a is newer than b, and 0 if they are the same. */
 export function compareFacts (a: Pick<Fact, 'incarnation' | 'counter'>, b: Pick<Fact, 'incarnation' | 'counter'>): number {
   return a.incarnation - b.incarnation || a.counter - b.counter
 }
@@ -123,7 +123,7 @@
   return `leaving/${upstream}`
 }
 
-/** Each node writes its own: what several of them had at one upstream adds up. */
+/** Each node writes its own fact, since the runs that several nodes had in flight at one upstream add up. */
 export function formatEndedSubject (upstream: string, node: string): string {
   return `ended/${upstream}/${node}`
 }
@@ -132,7 +132,7 @@
   return `evacuation/${hall}`
 }
 
-/** Each node writes its own: the latest answer that any of them heard stands. */
+/** Each node writes its own fact; the latest answer that any node received is used. */
 export function formatLimitSubject (upstream: string, node: string): string {
   return `limit/${upstream}/${node}`
 }
--- a/src/services/facts/common/upstreamView.ts
+++ b/src/services/facts/common/upstreamView.ts
@@ -1,5 +1,5 @@
 /**
- * Upstreams as a decision sees them: the configuration joined with the newest facts.
+ * The state of an upstream that scheduling decisions use: its configuration joined with the latest facts about it.
  */
 import type { Upstream } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { formatLeavingSubject, formatLoadSubject } from './fact.ts'
@@ -8,15 +8,15 @@
 
 export interface UpstreamView {
   readonly upstream: Upstream
-  /** The boot that the last report spoke of; 0 before any report. */
+  /** The incarnation in the last report; 0 before the first report. */
   readonly incarnation: number
   readonly load: LoadFact | undefined
-  /** When the report was made, on this process's clock. */
+  /** When the last report was made, in milliseconds on the local clock; 0 before the first report. */
   readonly reportedAt: number
   readonly isLeaving: boolean
 }
 
-/** A leaving mark holds for the incarnation it names and all before it, whatever later lists say. */
+/** A leaving fact applies to its incarnation and all earlier ones, even if the upstream is listed again later. */
 export function viewUpstream (upstream: Upstream, facts: FactStore): UpstreamView {
   const load = facts.get(formatLoadSubject(upstream.name))
   const leaving = facts.get(formatLeavingSubject(upstream.name))
--- a/src/services/facts/common/wireMessage.ts
+++ b/src/services/facts/common/wireMessage.ts
@@ -1,5 +1,5 @@
 /**
- * The messages between the system's own processes, and the check that each gets on arrival.
+ * The messages between the system's own processes, and their validation on receipt.
  */
 import { Schema } from 'effect'
 import type { Either } from 'purify-ts'
@@ -57,7 +57,7 @@
   ageMs: Count
 })
 
-/** Longer than any key of a source. */
+/** The limit is longer than any key of a configuration source. */
 const Key = Schema.String.pipe(Schema.maxLength(256))
 const Item = Schema.Struct({ key: Key, text: Schema.String, revision: Count })
 const ChangeSchema = Schema.Struct({
@@ -66,58 +66,58 @@
   item: Schema.UndefinedOr(Item),
   isWithheld: Schema.optional(Schema.Boolean)
 })
-/** For how long the sender has heard its source without a break, in milliseconds. */
-const HeardForMs = Count
-/** How long ago the source last told the sender that there is no more, in milliseconds. */
+/** For how long the sender has been receiving from its source without interruption, in milliseconds. */
+const UninterruptedMs = Count
+/** How long ago the source last confirmed to the sender that there are no further changes, in milliseconds. */
 const ConfirmedAgeMs = Count
 
 const WireMessageSchema = Schema.Union(
   /** The first message of each side. */
   Schema.Struct({ kind: Schema.Literal('hello'), role: Schema.Literal('steward', 'gate'), address: Name, hall: Name }),
   Schema.Struct({ kind: Schema.Literal('facts'), facts: Schema.Array(FactSchema) }),
-  /** What the sender knows of members, as a number that differs where two know different ones. */
+  /** A hash of the sender's member facts, which differs between two processes that know different members. */
   Schema.Struct({ kind: Schema.Literal('membersHeld'), digest: Count }),
-  /** Asks whether the receiver lives, or whether a third member does. */
+  /** Probes the receiver or, through it, the member `target`. */
   Schema.Struct({ kind: Schema.Literal('ping'), id: Count, target: Schema.optional(Name) }),
-  /** With the time on the sender's clock, in milliseconds. */
+  /** Answers a ping, with the time on the sender's clock in milliseconds. */
   Schema.Struct({ kind: Schema.Literal('ack'), id: Count, at: Schema.optional(Count) }),
-  /** Asks for all facts, and for the configuration where it is higher than the sender's; the answer ends with `refreshed`. */
+  /** Requests all facts, and the configuration if it is higher than the sender's; the answer ends with `refreshed`. */
   Schema.Struct({ kind: Schema.Literal('refresh'), id: Count, number: ConfigurationNumberSchema, revision: Count }),
   Schema.Struct({ kind: Schema.Literal('refreshed'), id: Count }),
-  /** The sender's number; a receiver that holds a higher document answers with its own number. */
+  /** The number of the sender's configuration; a receiver that has a higher one answers with its own number. */
   Schema.Struct({ kind: Schema.Literal('configurationHeld'), number: ConfigurationNumberSchema, revision: Count }),
-  /** Asks for the document, if the receiver's is higher than what the sender holds. */
+  /** Requests the receiver's configuration if it is higher than the sender's. */
   Schema.Struct({ kind: Schema.Literal('configurationWanted'), number: ConfigurationNumberSchema, revision: Count }),
   Schema.Struct({ kind: Schema.Literal('configuration'), text: Schema.String, revision: Count }),
-  /** Asks to be told what the receiver hears from its source after a revision, from now on. */
+  /** Subscribes to the changes after a revision that the receiver gets from its source. */
   Schema.Struct({ kind: Schema.Literal('feedWanted'), after: Count }),
-  Schema.Struct({ kind: Schema.Literal('feedChanges'), after: Count, revision: Count, heardForMs: HeardForMs, ageMs: ConfirmedAgeMs, changes: Schema.Array(ChangeSchema) }),
-  /** The source has said that there is nothing after the revision. */
-  Schema.Struct({ kind: Schema.Literal('feedConfirmed'), revision: Count, heardForMs: HeardForMs, ageMs: ConfirmedAgeMs }),
-  /** The sender does not hear the source, or no longer follows it. */
+  Schema.Struct({ kind: Schema.Literal('feedChanges'), after: Count, revision: Count, heardForMs: UninterruptedMs, ageMs: ConfirmedAgeMs, changes: Schema.Array(ChangeSchema) }),
+  /** The source has confirmed that there are no changes after the revision. */
+  Schema.Struct({ kind: Schema.Literal('feedConfirmed'), revision: Count, heardForMs: UninterruptedMs, ageMs: ConfirmedAgeMs }),
+  /** The sender does not receive from the source, or no longer watches it. */
   Schema.Struct({ kind: Schema.Literal('feedLost') }),
-  /** The sender no longer has all changes after the revision that was asked for. */
+  /** The sender no longer has all changes after the requested revision. */
   Schema.Struct({ kind: Schema.Literal('feedGap'), after: Count })
 )
 
 export type WireMessage = typeof WireMessageSchema.Type
 
-const checkKnown = createMessageCheck(WireMessageSchema, listKinds(WireMessageSchema.members))
+const checkKnownKinds = createMessageCheck(WireMessageSchema, listKinds(WireMessageSchema.members))
 const FACT_KINDS = listKinds(FactValueSchema.members)
 
-/** Checks a decoded frame. Facts of kinds that only newer senders know are left out: they say nothing about the others. */
+/** Validates a decoded frame. Facts of kinds that only newer versions know are left out; the other facts remain valid. */
 export function checkMessage (frame: unknown): Either<PepperwoodError, WireMessage> {
-  return checkKnown(dropUnknownFacts(frame))
+  return checkKnownKinds(dropUnknownFacts(frame))
 }
 
 function dropUnknownFacts (frame: unknown): unknown {
   const facts = readKind(frame) === 'facts' ? (frame as { readonly facts?: unknown }).facts : undefined
-  if (!Array.isArray(facts) || facts.every(isKnown)) return frame
-  return { kind: 'facts', facts: facts.filter(isKnown) }
+  if (!Array.isArray(facts) || facts.every(hasKnownKind)) return frame
+  return { kind: 'facts', facts: facts.filter(hasKnownKind) }
 }
 
-/** A fact without a kind is left to the check. */
-function isKnown (fact: unknown): boolean {
+/** Returns true for a fact without a kind as well, so that the validation refuses it. */
+function hasKnownKind (fact: unknown): boolean {
   const kind = readKind((fact as { readonly value?: unknown } | null | undefined)?.value)
   return kind === undefined || FACT_KINDS.has(kind)
 }
--- a/src/services/facts/node/peerLink.ts
+++ b/src/services/facts/node/peerLink.ts
@@ -1,5 +1,5 @@
 /**
- * A link to another process of the system: facts that are new to it, and the newest configuration.
+ * A link to another process of the system. It sends the facts that are new to the peer, and exchanges the configuration.
  */
 import { connect } from 'node:net'
 import { Disposable } from '../../../base/common/disposable.ts'
@@ -21,12 +21,12 @@
   readonly connection: FrameConnection
   readonly facts: FactStore
   readonly configuration: IConfigurationService
-  /** One for all links of the process. */
+  /** Shared by all links of the process. */
   readonly fetchGuard: FetchGuard
   readonly log: ILogService
-  /** What this side says of itself first. */
+  /** The first message of this side. */
   readonly hello: Extract<WireMessage, { readonly kind: 'hello' }>
-  /** Whether this side's configuration may be handed on yet. */
+  /** Whether the local configuration may be shared already. */
   readonly mayShareConfiguration: () => boolean
 }
 
@@ -45,22 +45,22 @@
 export class PeerLink extends Disposable {
   private readonly _options: PeerLinkOptions
   private _peer: Extract<WireMessage, { readonly kind: 'hello' }> | undefined
-  /** What was known here when the link opened. */
-  private readonly _openedSequence: number
-  /** Everything up to here was sent. */
+  /** The sequence number of the fact store when the link opened. */
+  private readonly _sequenceAtOpen: number
+  /** All facts up to this sequence number were sent. */
   private _syncedSequence = 0
-  /** The newest that was sent; between the two there may be gaps. */
+  /** The highest sequence number that was sent. Some facts between the two numbers may still be unsent. */
   private _sentSequence = 0
   private readonly _onDidReceive = this._register(new Emitter<WireMessage>())
   private readonly _onDidClose = this._register(new Emitter<void>())
-  /** Every message, once the link has done its part. */
+  /** Fired for every valid message, after the link itself has handled it. */
   readonly onDidReceive = this._onDidReceive.event
   readonly onDidClose = this._onDidClose.event
 
   constructor (options: PeerLinkOptions) {
     super()
     this._options = options
-    this._openedSequence = options.facts.sequence
+    this._sequenceAtOpen = options.facts.sequence
     this._register(options.connection)
     this._register(options.connection.onDidReceive(frame => this._receive(frame)))
     this._register(options.connection.onDidClose(fault => {
@@ -72,7 +72,7 @@
     this.announceConfiguration()
   }
 
-  /** Empty until the other side has said hello. */
+  /** Empty until the peer's hello has arrived. */
   get peerAddress (): string {
     return this._peer?.address ?? ''
   }
@@ -95,20 +95,20 @@
     this._options.connection.send(message)
   }
 
-  /** Sends what `createFrame` has made of a message. */
+  /** Sends a message that `createFrame` has encoded. */
   sendFrame (frame: Buffer): void {
     this._options.connection.sendFrame(frame)
   }
 
-  /** Sends all facts that the other side has not had from here. */
-  sendNews (): void {
+  /** Sends all facts learned since the last call of this method; `sendRecentFacts` may have sent some of them already. */
+  sendNewFacts (): void {
     const { facts } = this._options
     this._sendSince(this._syncedSequence)
     this._syncedSequence = facts.sequence
   }
 
-  /** Sends only what was learned after a sequence number, and not sent here yet; what is older is left to `sendNews`. */
-  sendRecent (since: number): void {
+  /** Sends the facts learned after a sequence number that were not sent yet; older ones are left to `sendNewFacts`. */
+  sendRecentFacts (since: number): void {
     this._sendSince(Math.max(since, this._sentSequence, this._syncedSequence))
   }
 
@@ -116,70 +116,71 @@
     const { facts } = this._options
     this._sentSequence = facts.sequence
     if (facts.sequence === sequence) return
-    this.sendFacts(facts.listSince(sequence, this.peerAddress, this._openedSequence))
+    this.sendFacts(facts.listSince(sequence, this.peerAddress, this._sequenceAtOpen))
   }
 
-  /** Sends facts whether they were sent before or not. */
+  /** Sends facts even if they were sent before. */
   sendFacts (facts: readonly Fact[]): void {
     for (let start = 0; start < facts.length; start += MAX_FACTS_PER_FRAME) {
       this.send({ kind: 'facts', facts: facts.slice(start, start + MAX_FACTS_PER_FRAME) })
     }
   }
 
-  /** Says which configuration this side holds: the other side asks for it, or says that it holds a higher one. */
+  /** Sends the number of the local configuration. The peer requests that configuration, or announces its own if that is higher. */
   announceConfiguration (): void {
     if (!this._options.mayShareConfiguration() && this._options.configuration.current !== undefined) return
-    this.send({ kind: 'configurationHeld', ...this._getStamp() })
+    this.send({ kind: 'configurationHeld', ...this._getLocalStamp() })
   }
 
-  /** Asks for all that the other side knows; the answer ends with `refreshed` and the same id. */
-  askAll (id: number): void {
-    this.send({ kind: 'refresh', id, ...this._getStamp() })
+  /** Requests all facts and a higher configuration from the peer; the answer ends with `refreshed` and the same id. */
+  askForRefresh (id: number): void {
+    this.send({ kind: 'refresh', id, ...this._getLocalStamp() })
   }
 
-  /** Sends the configuration in force, unless the other side holds one as high. */
-  sendConfiguration (held: ConfigurationStamp): void {
+  /** Sends the local configuration if it is higher than the one of the peer. */
+  sendConfiguration (peerStamp: ConfigurationStamp): void {
     const current = this._options.configuration.current
     if (current === undefined || !this._options.mayShareConfiguration()) return
-    if (compareStamps(current, held) <= 0) return
+    if (compareStamps(current, peerStamp) <= 0) return
     this.send({ kind: 'configuration', text: current.text, revision: current.revision })
   }
 
   /**
-   * A side that holds a lower document is told so and asks for this one once, whoever tells it. Sent unasked, a new
-   * document would come from every peer: in a fleet of 78 that filled small links for seconds.
+   * Announces the local configuration if it is higher, or requests the peer's one if that is higher. The fetch guard keeps
+   * the process from requesting a configuration over several links at once. If configurations were sent unrequested, a new
+   * one would arrive from every peer: in a fleet of 78 members that saturated slow links for seconds.
    */
-  private _compareConfiguration (held: ConfigurationStamp): void {
-    const own = this._getStamp()
-    if (compareStamps(held, own) < 0) this.announceConfiguration()
-    else if (this._options.fetchGuard.begin(held, own)) this.send({ kind: 'configurationWanted', ...own })
+  private _compareConfiguration (peerStamp: ConfigurationStamp): void {
+    const localStamp = this._getLocalStamp()
+    if (compareStamps(peerStamp, localStamp) < 0) this.announceConfiguration()
+    else if (this._options.fetchGuard.begin(peerStamp, localStamp)) this.send({ kind: 'configurationWanted', ...localStamp })
   }
 
-  private _answerRefresh (question: ConfigurationStamp & { readonly id: number }): void {
-    this.sendNews()
-    this.sendConfiguration(question)
-    this.send({ kind: 'refreshed', id: question.id })
+  private _answerRefresh (request: ConfigurationStamp & { readonly id: number }): void {
+    this.sendNewFacts()
+    this.sendConfiguration(request)
+    this.send({ kind: 'refreshed', id: request.id })
   }
 
-  private _getStamp (): ConfigurationStamp {
+  private _getLocalStamp (): ConfigurationStamp {
     const { current, number } = this._options.configuration
     return { number, revision: current?.revision ?? 0 }
   }
 
   private _receive (frame: unknown): void {
     checkMessage(frame).caseOf({
-      Left: error => this._refuse(error),
-      Right: message => this._take(message)
+      Left: error => this._rejectFrame(error),
+      Right: message => this._handleMessage(message)
     })
   }
 
-  /** A message of an unknown kind is skipped; a broken one ends the link, since nothing after it can be trusted. */
-  private _refuse (error: PepperwoodError): void {
+  /** Skips a message of an unknown kind. Closes the link on an invalid one, since nothing after it can be trusted. */
+  private _rejectFrame (error: PepperwoodError): void {
     this._options.log.warn('frame_refused', { code: error.resultName, place: error.place, peer: this.peerAddress })
     if (error.resultName !== 'messageUnknown') this.dispose()
   }
 
-  private _take (message: WireMessage): void {
+  private _handleMessage (message: WireMessage): void {
     const { facts, configuration } = this._options
     if (message.kind === 'hello') {
       this._peer = message
@@ -200,14 +201,14 @@
 
 export interface DialOptions extends Omit<PeerLinkOptions, 'connection'> {
   readonly address: string
-  /** The address that the connection leaves from. */
+  /** The local address of the connection. */
   readonly localAddress?: string
   readonly timeoutMs?: number
 }
 
 const DEFAULT_DIAL_TIMEOUT_MS = 500
 
-/** Opens a link; rejects with a typed error when the other side cannot be reached. */
+/** Opens a link; rejects with a `PepperwoodError` if the peer cannot be reached. */
 export function dialPeer (options: DialOptions): Promise<PeerLink> {
   const address = parseAddress(options.address)
   return new Promise((resolve, reject) => {
--- a/src/services/facts/node/stewardSubscription.ts
+++ b/src/services/facts/node/stewardSubscription.ts
@@ -1,6 +1,6 @@
 /**
- * A gate's link to a steward: the view comes over it, and the gate's own facts go. When the steward is lost,
- * the next one is taken, and the last view is kept meanwhile.
+ * A gate's link to a steward. The gate receives facts and the configuration over it and sends its own facts. If the
+ * steward is lost, the gate connects to the next one and keeps the last received state until then.
  */
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
 import { Emitter } from '../../../base/common/event.ts'
@@ -11,11 +11,11 @@
 
 export interface StewardSubscriptionOptions {
   readonly link: Omit<DialOptions, 'address'>
-  /** Settings first, the preferred steward first, then those learned from the view. */
+  /** Lists the stewards of the settings, the preferred one first, and then those learned from facts. */
   readonly listStewards: () => readonly string[]
   readonly log: ILogService
   readonly pushPeriodMs?: number
-  /** A steward that sends nothing for so long is given up. */
+  /** The link to a steward that sends nothing for this time is dropped. */
   readonly maxSilenceMs?: number
 }
 
@@ -26,9 +26,9 @@
   private readonly _options: StewardSubscriptionOptions
   private _link: PeerLink | undefined
   private _isDialing = false
-  private _next = 0
+  private _nextStewardIndex = 0
   private _nextRefreshId = 1
-  private _heardAt = 0
+  private _lastReceivedAt = 0
   private _linkCount = 0
   private readonly _onDidRefresh = this._register(new Emitter<number>())
   private readonly _onDidConnect = this._register(new Emitter<string>())
@@ -37,10 +37,10 @@
   constructor (options: StewardSubscriptionOptions) {
     super()
     this._options = options
-    this._register(startInterval(CHECK_PERIOD_MS, () => this._check()))
-    this._register(startInterval(options.pushPeriodMs ?? 200, () => this._link?.sendNews()))
+    this._register(startInterval(CHECK_PERIOD_MS, () => this._checkLink()))
+    this._register(startInterval(options.pushPeriodMs ?? 200, () => this._link?.sendNewFacts()))
     this._register(toDisposable(() => this._link?.dispose()))
-    this._check()
+    this._checkLink()
   }
 
   /** Empty while no steward is linked. */
@@ -48,22 +48,22 @@
     return this._link?.peerAddress ?? ''
   }
 
-  /** How often a steward was linked; more than once means that one was lost. */
+  /** How many times a steward was linked; more than once means that one was lost. */
   get linkCount (): number {
     return this._linkCount
   }
 
   /** Sends own facts without waiting for the next round. */
   pushNow (): void {
-    this._link?.sendNews()
+    this._link?.sendNewFacts()
   }
 
-  /** Asks the steward for a configuration as high as its own. */
+  /** Announces the local configuration to the steward, so that a higher one is sent in return. */
   askConfiguration (): void {
     this._link?.announceConfiguration()
   }
 
-  /** Reads the view anew; false when no steward answered in time. */
+  /** Requests all facts from the steward; resolves with false if it does not answer in time, and drops its link. */
   async refresh (): Promise<boolean> {
     const link = this._link
     if (link === undefined || link.isClosed) return false
@@ -77,51 +77,51 @@
       const subscription = this._onDidRefresh.event(refreshed => { if (refreshed === id) end(true) })
       const timer = setTimeout(() => {
         end(false)
-        this._drop(link)
+        this._dropLink(link)
       }, REFRESH_TIMEOUT_MS)
-      link.askAll(id)
+      link.askForRefresh(id)
     })
   }
 
-  private _check (): void {
-    const silentMs = performance.now() - this._heardAt
-    if (this._link !== undefined && silentMs > (this._options.maxSilenceMs ?? 3000)) this._drop(this._link)
+  private _checkLink (): void {
+    const silentMs = performance.now() - this._lastReceivedAt
+    if (this._link !== undefined && silentMs > (this._options.maxSilenceMs ?? 3000)) this._dropLink(this._link)
     if (this._link === undefined && !this._isDialing) void this._connect()
   }
 
   private async _connect (): Promise<void> {
     const stewards = this._options.listStewards()
-    const address = stewards[this._next++ % Math.max(1, stewards.length)]
+    const address = stewards[this._nextStewardIndex++ % Math.max(1, stewards.length)]
     if (address === undefined) return
     this._isDialing = true
     try {
-      this._adopt(await dialPeer({ ...this._options.link, address }), address)
+      this._adoptLink(await dialPeer({ ...this._options.link, address }), address)
     } catch {
-      // Not reachable: the next check tries the next steward.
+      // The steward cannot be reached; the next check tries the next one.
     } finally {
       this._isDialing = false
     }
   }
 
-  private _adopt (link: PeerLink, address: string): void {
+  private _adoptLink (link: PeerLink, address: string): void {
     if (this._isDisposed) return link.dispose()
     this._link = link
-    this._heardAt = performance.now()
+    this._lastReceivedAt = performance.now()
     this._linkCount++
     this._options.log.info('steward_linked', { steward: address })
     link.onDidReceive(message => {
-      this._heardAt = performance.now()
+      this._lastReceivedAt = performance.now()
       if (message.kind === 'refreshed') this._onDidRefresh.fire(message.id)
     })
-    link.onDidClose(() => this._drop(link))
+    link.onDidClose(() => this._dropLink(link))
     this._onDidConnect.fire(address)
   }
 
-  private _drop (link: PeerLink): void {
+  private _dropLink (link: PeerLink): void {
     if (this._link !== link) return
     this._options.log.warn('steward_lost', { steward: link.peerAddress })
     this._link = undefined
     link.dispose()
-    if (!this._isDisposed) this._check()
+    if (!this._isDisposed) this._checkLink()
   }
 }
--- a/src/services/facts/test/factStore.test.ts
+++ b/src/services/facts/test/factStore.test.ts
@@ -20,7 +20,7 @@
   return { subject: 'load/u', incarnation, counter, value, ageMs: 0 }
 }
 
-test('stores that hear the same facts in any order, doubled or split, end alike', () => {
+test('stores that merge the same facts in any order, repeated or in parts, converge', () => {
   const fact = fc.tuple(fc.boolean(), fc.integer({ min: 0, max: 3 }), fc.integer({ min: 0, max: 4 })).map(([isLoad, incarnation, counter]) => isLoad ? createLoad(incarnation, counter) : createLeaving(incarnation))
   fc.assert(fc.property(fc.array(fact, { maxLength: 20 }), fc.array(fc.nat({ max: 19 }), { maxLength: 30 }), (facts, order) => {
     const a = new FactStore(new VirtualClock())
@@ -34,7 +34,7 @@
   }), { seed: SEED, numRuns: 2000 })
 })
 
-test('what was taken back goes before the ends that it takes back, to a node that may judge in between', () => {
+test('cleared facts are sent before the ended facts that they clear, since the receiver may evaluate its facts in between', () => {
   const store = new FactStore(new VirtualClock())
   const runs = [{ digest: 'g', bodyBytes: 1, sentBeforeMs: 1 }]
   for (const upstream of ['u', 'v']) store.merge({ subject: `ended/${upstream}/n`, incarnation: 1, counter: 1, value: { kind: 'ended', upstream, runs }, ageMs: 0 })
@@ -43,7 +43,7 @@
   assert.equal(store.listSince(0, '').map(fact => fact.subject), ['cleared/g', 'ended/u/n', 'ended/v/n', 'leaving/u'])
 })
 
-test('links that send what is new since their last time bring a partitioned pair back together', () => {
+test('two partitioned stores converge if each sends the facts that are new since its last exchange', () => {
   const step = fc.oneof(
     fc.record({ kind: fc.constant('write' as const), store: fc.nat({ max: 1 }), counter: fc.nat({ max: 50 }), subject: fc.nat({ max: 3 }) }),
     fc.record({ kind: fc.constant('exchange' as const), store: fc.nat({ max: 1 }), counter: fc.nat(), subject: fc.nat() })
@@ -68,7 +68,7 @@
   }), { seed: SEED, numRuns: 2000 })
 })
 
-test('a leaving mark holds for its incarnation whatever comes later, and not for the next boot', () => {
+test('a leaving fact applies to its incarnation whatever facts follow, and not to the next incarnation', () => {
   const store = new FactStore(new VirtualClock())
   const upstream = create(UpstreamSchema, { name: 'u' })
   store.merge(createLoad(5, 1))
@@ -81,7 +81,7 @@
   assert.not(viewUpstream(upstream, store).isLeaving)
 })
 
-test('a gate that was not heard of for long is forgotten, and old news of it does not bring it back', () => {
+test('a gate without recent facts is removed, and an old fact does not add it again', () => {
   const clock = new VirtualClock()
   const store = new FactStore(clock)
   const value = { kind: 'gate' as const, address: 'g', hall: 'h', inFlight: 0, recentRequests: 0, draining: false, ready: true, configuration: { epoch: 1, version: 1 } }
@@ -94,7 +94,7 @@
   assert.ok(store.merge({ ...fact, ageMs: 1000 }))
 })
 
-test('the age of a fact grows on its way', () => {
+test('the age of a fact includes the time it was stored before it is sent on', () => {
   const clock = new VirtualClock()
   const store = new FactStore(clock)
   store.merge({ ...createLoad(1, 1), ageMs: 70 })
--- a/src/services/facts/test/peerLink.test.ts
+++ b/src/services/facts/test/peerLink.test.ts
@@ -19,7 +19,7 @@
   return { subject: `leaving/${name}`, incarnation: 1, counter: 1, value: { kind: 'leaving', upstream: name, signal: 's' }, ageMs: 0 }
 }
 
-function createSide (socket: Socket, address: string, facts = new FactStore(new VirtualClock())) {
+function createEndpoint (socket: Socket, address: string, facts = new FactStore(new VirtualClock())) {
   const clock = new VirtualClock()
   const configuration = new ConfigurationService(clock)
   const link = new PeerLink({
@@ -34,12 +34,12 @@
   return { facts, configuration, link }
 }
 
-type Side = ReturnType<typeof createSide>
+type Endpoint = ReturnType<typeof createEndpoint>
 
-async function openPair (known = new FactStore(new VirtualClock())): Promise<{ readonly a: Side, readonly b: Side, readonly close: () => void }> {
+async function openLinkPair (factsOfA = new FactStore(new VirtualClock())): Promise<{ readonly a: Endpoint, readonly b: Endpoint, readonly close: () => void }> {
   return await new Promise(resolve => {
     const server = createServer(socket => {
-      const [a, b] = [createSide(near, 'a', known), createSide(socket, 'b')]
+      const [a, b] = [createEndpoint(near, 'a', factsOfA), createEndpoint(socket, 'b')]
       resolve({ a, b, close: () => { a.link.dispose(); b.link.dispose(); server.close() } })
     })
     let near: Socket
@@ -47,95 +47,95 @@
   })
 }
 
-/** Waits until the other side has read all that was sent before. */
-async function settle (from: Side, to: Side): Promise<void> {
+/** Waits until the other side has received all messages that were sent before. */
+async function waitForDelivery (from: Endpoint, to: Endpoint): Promise<void> {
   const read = new Promise<void>(resolve => { to.link.onDidReceive(message => { if (message.kind === 'ack') resolve() }) })
   from.link.send({ kind: 'ack', id: 1 })
   await read
 }
 
-test('recent news leaves the older to a comparison, and nothing is sent twice', async () => {
-  const { a, b, close } = await openPair()
+test('sending recent facts leaves older ones to a full send, and nothing is sent twice', async () => {
+  const { a, b, close } = await openLinkPair()
   a.facts.merge(createFact('old'))
   const mark = a.facts.sequence
   a.facts.merge(createFact('new'))
-  a.link.sendRecent(mark)
-  await settle(a, b)
+  a.link.sendRecentFacts(mark)
+  await waitForDelivery(a, b)
   assert.equal(b.facts.list().map(fact => fact.subject), ['leaving/new'])
   const sent = a.link.traffic.sent
-  a.link.sendRecent(mark)
+  a.link.sendRecentFacts(mark)
   assert.is(a.link.traffic.sent, sent)
-  a.link.sendNews()
-  await settle(a, b)
+  a.link.sendNewFacts()
+  await waitForDelivery(a, b)
   assert.equal(b.facts.list().map(fact => fact.subject).sort(), ['leaving/new', 'leaving/old'])
   const whole = a.link.traffic.sent
-  a.link.sendNews()
-  a.link.sendRecent(0)
+  a.link.sendNewFacts()
+  a.link.sendRecentFacts(0)
   assert.is(a.link.traffic.sent, whole)
   close()
 })
 
-test('a side that started anew is told what it had said itself before', async () => {
-  const before = await openPair()
+test('a restarted peer is sent the facts that it had sent itself before the restart', async () => {
+  const before = await openLinkPair()
   before.b.facts.merge(createFact('u'))
-  before.b.link.sendNews()
-  await settle(before.b, before.a)
+  before.b.link.sendNewFacts()
+  await waitForDelivery(before.b, before.a)
   before.close()
-  const { a, b, close } = await openPair(before.a.facts)
+  const { a, b, close } = await openLinkPair(before.a.facts)
   try {
     a.facts.merge(createFact('v'))
-    await settle(b, a)
-    b.link.askAll(1)
-    await settle(b, a)
-    await settle(a, b)
+    await waitForDelivery(b, a)
+    b.link.askForRefresh(1)
+    await waitForDelivery(b, a)
+    await waitForDelivery(a, b)
     assert.equal(b.facts.list().map(fact => fact.subject).sort(), ['leaving/u', 'leaving/v'])
   } finally {
     close()
   }
 })
 
-test('a fact does not go back to where it came from', async () => {
-  const { a, b, close } = await openPair()
-  await settle(b, a)
-  await settle(a, b)
+test('a fact is not sent back to the peer that sent it', async () => {
+  const { a, b, close } = await openLinkPair()
+  await waitForDelivery(b, a)
+  await waitForDelivery(a, b)
   a.facts.merge(createFact('x'))
-  a.link.sendNews()
-  await settle(a, b)
+  a.link.sendNewFacts()
+  await waitForDelivery(a, b)
   const sent = b.link.traffic.sent
-  b.link.sendNews()
+  b.link.sendNewFacts()
   assert.is(b.link.traffic.sent, sent)
   close()
 })
 
-function offer (side: Side, version: number): void {
+function offerConfiguration (side: Endpoint, version: number): void {
   side.configuration.offer({ text: toJsonString(ConfigurationSchema, create(ConfigurationSchema, { epoch: 1, version })), revision: version }, 'platform')
 }
 
-test('a higher document goes over once, however often the lower number is heard', async () => {
-  const { a, b, close } = await openPair()
-  offer(a, 2)
-  offer(b, 1)
+test('a higher configuration is sent once, however often the lower number is announced', async () => {
+  const { a, b, close } = await openLinkPair()
+  offerConfiguration(a, 2)
+  offerConfiguration(b, 1)
   let documents = 0
   b.link.onDidReceive(message => { if (message.kind === 'configuration') documents++ })
   for (let round = 0; round < 5; round++) b.link.announceConfiguration()
-  await settle(b, a)
-  await settle(a, b)
-  await settle(b, a)
-  await settle(a, b)
+  await waitForDelivery(b, a)
+  await waitForDelivery(a, b)
+  await waitForDelivery(b, a)
+  await waitForDelivery(a, b)
   assert.is(b.configuration.number.version, 2)
   assert.is(documents, 1)
   close()
 })
 
-test('who asks for all that is known gets the document only where it is higher', async () => {
-  const { a, b, close } = await openPair()
-  offer(a, 2)
-  offer(b, 2)
+test('a peer that asks for a refresh gets the configuration only if it is higher', async () => {
+  const { a, b, close } = await openLinkPair()
+  offerConfiguration(a, 2)
+  offerConfiguration(b, 2)
   let documents = 0
   b.link.onDidReceive(message => { if (message.kind === 'configuration') documents++ })
-  b.link.askAll(1)
-  await settle(b, a)
-  await settle(a, b)
+  b.link.askForRefresh(1)
+  await waitForDelivery(b, a)
+  await waitForDelivery(a, b)
   assert.is(documents, 0)
   close()
 })
--- a/src/services/facts/test/wireMessage.test.ts
+++ b/src/services/facts/test/wireMessage.test.ts
@@ -9,7 +9,7 @@
 const test = suite('wireMessage')
 const fact = { subject: 'leaving/u', incarnation: 1, counter: 1, value: { kind: 'leaving', upstream: 'u', signal: 's' }, ageMs: 0 }
 
-test('good messages pass', () => {
+test('valid messages are accepted', () => {
   assert.ok(checkMessage({ kind: 'facts', facts: [fact] }).isRight())
   assert.ok(checkMessage({ kind: 'ping', id: 1 }).isRight())
   assert.ok(checkMessage({ kind: 'ping', id: 1, target: '127.0.0.1:1' }).isRight())
@@ -34,13 +34,13 @@
   })
 }
 
-test('facts of kinds that only newer senders know are left out, and the others are taken', () => {
+test('facts of kinds that only newer versions know are left out, and the others are accepted', () => {
   const unknown = { ...fact, subject: 'novel/x', value: { kind: 'novel', fields: [1, 2] } }
   const message = checkMessage({ kind: 'facts', facts: [unknown, fact, unknown] })
   assert.equal(message.extract(), { kind: 'facts', facts: [fact] })
 })
 
-async function openPair (): Promise<{ readonly sender: Socket, readonly receiver: FrameConnection, readonly close: () => void }> {
+async function openConnectionPair (): Promise<{ readonly sender: Socket, readonly receiver: FrameConnection, readonly close: () => void }> {
   return await new Promise(resolve => {
     const server = createServer(socket => {
       const receiver = new FrameConnection(socket)
@@ -58,8 +58,8 @@
   return Buffer.concat([head, body])
 }
 
-test('frames arrive whole however they are cut and joined on the way', async () => {
-  const { sender, receiver, close } = await openPair()
+test('frames arrive complete however the bytes are split and joined in transit', async () => {
+  const { sender, receiver, close } = await openConnectionPair()
   const values = [{ a: 1 }, { b: 'x'.repeat(5000) }, { c: [1, 2, 3] }]
   const bytes = Buffer.concat(values.map(createFrame))
   const received: unknown[] = []
@@ -74,10 +74,10 @@
 
 for (const [name, bytes, expected] of [
   ['a frame that is too large', (() => { const head = Buffer.alloc(4); head.writeUInt32BE(MAX_FRAME_BYTES + 1); return head })(), 'frameTooLarge'],
-  ['bytes that are no value', Buffer.from([0, 0, 0, 2, 0x1c, 0xff]), 'frameUnreadable']
+  ['bytes that cannot be decoded', Buffer.from([0, 0, 0, 2, 0x1c, 0xff]), 'frameUnreadable']
 ] as const) {
-  test(`${name}: the connection ends`, async () => {
-    const { sender, receiver, close } = await openPair()
+  test(`${name}: the connection is closed`, async () => {
+    const { sender, receiver, close } = await openConnectionPair()
     const fault = await new Promise(resolve => {
       receiver.onDidClose(resolve)
       sender.write(bytes)
--- a/src/services/membership/common/duty.ts
+++ b/src/services/membership/common/duty.ts
@@ -1,13 +1,13 @@
 /**
- * Who does what among the stewards, without any agreement: each computes the same answer from the same members,
- * and where views differ for a while, a duty is done twice or late, which all duties here allow.
+ * Assigns duties to stewards without coordination: each steward computes the same assignment from the same members.
+ * While their member lists differ, a duty may be done twice or late, which every duty here tolerates.
  */
 import { rankByRendezvous } from '../../../base/common/rendezvous.ts'
 import type { Member } from './membershipTable.ts'
 
-/** Watchers of one upstream. */
+/** Number of stewards that watch one upstream. */
 const UPSTREAM_WATCHERS = 2
-/** Watchers of the platform in one hall. */
+/** Number of stewards that watch the platform in one hall. */
 const PLATFORM_WATCHERS = 2
 
 function isAmongFirst (key: string, address: string, members: readonly Member[], count: number): boolean {
@@ -22,7 +22,7 @@
   return isAmongFirst(`platform/${hall}`, address, live.filter(member => member.hall === hall), PLATFORM_WATCHERS)
 }
 
-/** One steward orders all engines of a hall, so that it alone keeps the limit on loads in that hall. */
+/** A single steward issues the orders to all engines of a hall, so that it alone enforces the limit on model loads there. */
 export function ordersHall (hall: string, address: string, live: readonly Member[]): boolean {
   return isAmongFirst(`order/${hall}`, address, live, 1)
 }
--- a/src/services/membership/common/membershipTable.ts
+++ b/src/services/membership/common/membershipTable.ts
@@ -1,6 +1,6 @@
 /**
- * The stewards that this one knows, as facts: alive, suspect, dead or left. A member that hears itself called suspect or
- * dead raises its incarnation, which outweighs the claim everywhere.
+ * The members that this process knows, kept as facts with the state alive, suspect, dead or left. A member that receives
+ * a fact which states that it is suspect or dead raises its incarnation; its new fact replaces the old one on all members.
  */
 import { Disposable } from '../../../base/common/disposable.ts'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -13,17 +13,17 @@
 export interface MembershipOptions {
   readonly address: string
   readonly hall: string
-  /** How much this host can do, in hundredths of a core. */
+  /** Processing capacity of this host, in hundredths of a core. */
   readonly weight?: number
-  /** Grows with each boot. */
+  /** Grows with each process start. */
   readonly incarnation: number
   readonly clock: IClock
   readonly random: IRandom
   readonly facts: FactStore
-  /** How long a suspect has to answer before it is taken for dead. */
-  readonly suspicionMs?: number
-  /** How long the dead and the left are remembered. */
-  readonly rememberMs?: number
+  /** How long a suspect has to refute the suspicion before it is considered dead. */
+  readonly suspicionTimeoutMs?: number
+  /** How long members that are dead or have left stay in the table. */
+  readonly retentionMs?: number
 }
 
 export interface Member {
@@ -34,8 +34,8 @@
   readonly weight: number
 }
 
-/** What the facts say of members, with the list of facts that it was derived from. */
-interface KnownMembers {
+/** Member lists derived from facts, with the list of facts they were derived from. */
+interface MemberSnapshot {
   readonly facts: readonly HeldFactOf<'member'>[]
   readonly members: readonly Member[]
   readonly live: readonly Member[]
@@ -43,31 +43,31 @@
   readonly peerAddresses: readonly string[]
 }
 
-/** The counter of a member fact is the precedence of its state within an incarnation. */
-const PRECEDENCE: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, dead: 2, left: 3 }
+/** The precedence of the states within one incarnation; it is the counter of the member's fact. */
+const STATE_PRECEDENCE: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, dead: 2, left: 3 }
 
-/** By then all have heard that a member went. */
-const COMPARED_AGE_MS = 60_000
+/** How long dead and left members are included when two members compare their facts: by then all have received the fact. */
+const DEPARTED_SYNC_MS = 60_000
 
 export class MembershipTable extends Disposable {
   private readonly _options: MembershipOptions
-  private readonly _suspicionMs: number
-  private readonly _rememberMs: number
+  private readonly _suspicionTimeoutMs: number
+  private readonly _retentionMs: number
   private _incarnation: number
   private _state: MemberState = 'alive'
-  private readonly _changedAt = new Map<string, number>()
+  private readonly _stateChangedAt = new Map<string, number>()
   private _probeOrder: readonly string[] = []
-  private _suspicions = 0
+  private _suspicionCount = 0
   private _digest: { readonly facts: readonly HeldFactOf<'member'>[], readonly value: number } = { facts: [], value: 0 }
-  private _known: KnownMembers = { facts: [], members: [], live: [], peers: [], peerAddresses: [] }
+  private _snapshot: MemberSnapshot = { facts: [], members: [], live: [], peers: [], peerAddresses: [] }
 
   constructor (options: MembershipOptions) {
     super()
     this._options = options
-    this._suspicionMs = options.suspicionMs ?? 2000
-    this._rememberMs = options.rememberMs ?? 600_000
+    this._suspicionTimeoutMs = options.suspicionTimeoutMs ?? 2000
+    this._retentionMs = options.retentionMs ?? 600_000
     this._incarnation = options.incarnation
-    this._register(options.facts.onDidChange(fact => this._watch(fact)))
+    this._register(options.facts.onDidChange(fact => this._handleFact(fact)))
     this._announce()
   }
 
@@ -75,93 +75,96 @@
     return this._incarnation
   }
 
-  /** How often this member suspected another. */
+  /** How many times this member has suspected another one. */
   get suspicionCount (): number {
-    return this._suspicions
+    return this._suspicionCount
   }
 
-  /** All members known, this one included. */
+  /** All known members in any state, this one included. */
   listMembers (): readonly Member[] {
-    return this._deriveMembers().members
+    return this._deriveSnapshot().members
   }
 
-  /** Members taken for alive, this one included; a suspect still counts. */
+  /** Members that are alive or suspect, this one included. */
   listLive (): readonly Member[] {
-    return this._deriveMembers().live
+    return this._deriveSnapshot().live
   }
 
-  /** How many members are taken for alive; this one always is. */
+  /** The number of live members; at least 1, since this one is always counted. */
   countLive (): number {
     return Math.max(1, this.listLive().length)
   }
 
-  /** Derived once for each change of a member. */
-  private _deriveMembers (): KnownMembers {
+  /** Derives the lists anew only after a member fact has changed. */
+  private _deriveSnapshot (): MemberSnapshot {
     const facts = this._listFacts()
-    if (facts === this._known.facts) return this._known
+    if (facts === this._snapshot.facts) return this._snapshot
     const members = facts.map(({ value, incarnation }) => ({ address: value.address, hall: value.hall, state: value.state, incarnation, weight: value.weight }))
-    const live = members.filter(member => !isGone(member.state))
+    const live = members.filter(member => !isDeadOrLeft(member.state))
     const peers = live.filter(member => member.address !== this._options.address)
-    this._known = { facts, members, live, peers, peerAddresses: peers.map(member => member.address) }
-    return this._known
+    this._snapshot = { facts, members, live, peers, peerAddresses: peers.map(member => member.address) }
+    return this._snapshot
   }
 
-  /** Other members taken for alive. */
+  /** Live members without this one. */
   listPeers (): readonly Member[] {
-    return this._deriveMembers().peers
+    return this._deriveSnapshot().peers
   }
 
-  /** Addresses of the other members taken for alive; the same list until a member changes. */
+  /** Addresses of the live members without this one; the same array until a member fact changes. */
   listPeerAddresses (): readonly string[] {
-    return this._deriveMembers().peerAddresses
+    return this._deriveSnapshot().peerAddresses
   }
 
-  /** Members that were taken for dead and may not be: a partition looks like the death of the other side. */
+  /** Members considered dead. They may be alive: a network partition cannot be told from the failure of the other side. */
   listDead (): readonly Member[] {
     return this.listMembers().filter(member => member.state === 'dead')
   }
 
-  /** A number that two members share if they know the same live members in the same states, and hardly otherwise. */
+  /** A hash of the live members and their states, equal on two members that know the same ones. Collisions are unlikely. */
   computeDigest (): number {
     const facts = this._listFacts()
     if (facts !== this._digest.facts) this._digest = { facts, value: digestFacts(facts) }
     return this._digest.value
   }
 
-  /** What others may lack: live members, and those that went lately. What went long ago is being forgotten. */
-  listToCompare (): readonly HeldFactOf<'member'>[] {
+  /** Facts that a peer may lack: live members and those that died or left recently. Older facts are about to be removed. */
+  listFactsToSync (): readonly HeldFactOf<'member'>[] {
     const now = this._options.clock.now()
-    return this._listFacts().filter(fact => !isGone(fact.value.state) || now - fact.observedAt < COMPARED_AGE_MS)
+    return this._listFacts().filter(fact => !isDeadOrLeft(fact.value.state) || now - fact.observedAt < DEPARTED_SYNC_MS)
   }
 
-  /** The next of some members to probe: each one once in a round, in a new random order each round. */
-  chooseProbe (among: readonly string[] = this.listPeerAddresses()): string | undefined {
-    this._probeOrder = this._probeOrder.filter(address => among.includes(address))
-    if (this._probeOrder.length === 0) this._probeOrder = shuffle([...among], this._options.random)
+  /** Returns the next candidate to probe: each one once in a round, in a new random order in every round. */
+  chooseProbeTarget (candidates: readonly string[] = this.listPeerAddresses()): string | undefined {
+    this._probeOrder = this._probeOrder.filter(address => candidates.includes(address))
+    if (this._probeOrder.length === 0) this._probeOrder = shuffle([...candidates], this._options.random)
     const [next, ...rest] = this._probeOrder
     this._probeOrder = rest
     return next
   }
 
-  /** A member did not answer, neither directly nor through others. */
+  /** Marks a live member as suspect: it answered neither a direct probe nor the indirect ones. */
   suspect (address: string): void {
     const fact = this._findFact(address)
     if (fact?.value.state !== 'alive') return
-    this._suspicions++
-    this._claim(fact, 'suspect')
+    this._suspicionCount++
+    this._mergeState(fact, 'suspect')
   }
 
-  /** A member answered; a suspicion of our own alone is not taken back here, since the member refutes it itself. */
-  expire (): void {
+  /**
+   * Marks suspects as dead after the suspicion timeout, and removes dead and left members after the retention period.
+   * An answer to a probe does not clear a suspicion, not even one raised by this member alone: the suspect refutes it itself.
+   */
+  expireMembers (): void {
     const now = this._options.clock.now()
     for (const fact of this._listFacts()) {
-      const changedAt = this._changedAt.get(fact.subject) ?? now
-      if (fact.value.state === 'suspect' && now - changedAt >= this._suspicionMs) this._claim(fact, 'dead')
-      else if (isGone(fact.value.state) && now - changedAt >= this._rememberMs) this._forget(fact.subject)
+      const changedAt = this._stateChangedAt.get(fact.subject) ?? now
+      if (fact.value.state === 'suspect' && now - changedAt >= this._suspicionTimeoutMs) this._mergeState(fact, 'dead')
+      else if (isDeadOrLeft(fact.value.state) && now - changedAt >= this._retentionMs) this._removeFact(fact.subject)
     }
   }
 
-  /** Says that this member leaves as planned. */
+  /** Announces that this member leaves as planned. */
   leave (): void {
     this._state = 'left'
     this._announce()
@@ -170,12 +173,12 @@
   private _announce (): void {
     const { address, hall, facts, weight = 0 } = this._options
     const value = { kind: 'member' as const, address, hall, state: this._state, weight }
-    facts.merge({ subject: formatMemberSubject(address), incarnation: this._incarnation, counter: PRECEDENCE[this._state], value, ageMs: 0 })
+    facts.merge({ subject: formatMemberSubject(address), incarnation: this._incarnation, counter: STATE_PRECEDENCE[this._state], value, ageMs: 0 })
   }
 
-  private _watch (fact: HeldFact): void {
+  private _handleFact (fact: HeldFact): void {
     if (fact.value.kind !== 'member') return
-    this._changedAt.set(fact.subject, this._options.clock.now())
+    this._stateChangedAt.set(fact.subject, this._options.clock.now())
     if (fact.value.address !== this._options.address) return
     const isOwn = fact.incarnation === this._incarnation && fact.value.state === this._state
     if (isOwn || this._state === 'left') return
@@ -183,14 +186,14 @@
     this._announce()
   }
 
-  private _claim (fact: HeldFactOf<'member'>, state: MemberState): void {
+  private _mergeState (fact: HeldFactOf<'member'>, state: MemberState): void {
     const { subject, incarnation, value } = fact
-    this._options.facts.merge({ subject, incarnation, counter: PRECEDENCE[state], value: { ...value, state }, ageMs: 0 })
+    this._options.facts.merge({ subject, incarnation, counter: STATE_PRECEDENCE[state], value: { ...value, state }, ageMs: 0 })
   }
 
-  private _forget (subject: string): void {
+  private _removeFact (subject: string): void {
     this._options.facts.drop(subject)
-    this._changedAt.delete(subject)
+    this._stateChangedAt.delete(subject)
   }
 
   private _findFact (address: string): HeldFactOf<'member'> | undefined {
@@ -204,20 +207,20 @@
 
 function digestFacts (facts: readonly HeldFactOf<'member'>[]): number {
   let digest = 0
-  for (const { subject, incarnation, counter, value } of facts) if (!isGone(value.state)) digest ^= hashText(`${subject}/${incarnation}/${counter}`)
+  for (const { subject, incarnation, counter, value } of facts) if (!isDeadOrLeft(value.state)) digest ^= hashText(`${subject}/${incarnation}/${counter}`)
   return digest >>> 0
 }
 
-function isGone (state: MemberState): boolean {
+function isDeadOrLeft (state: MemberState): boolean {
   return state === 'dead' || state === 'left'
 }
 
 function shuffle (items: string[], random: IRandom): readonly string[] {
   for (let index = items.length - 1; index > 0; index--) {
-    const other = Math.floor(random.next() * (index + 1))
+    const swapIndex = Math.floor(random.next() * (index + 1))
     const item = items[index] ?? ''
-    items[index] = items[other] ?? ''
-    items[other] = item
+    items[index] = items[swapIndex] ?? ''
+    items[swapIndex] = item
   }
   return items
 }
--- a/src/services/membership/node/fleetMember.ts
+++ b/src/services/membership/node/fleetMember.ts
@@ -1,6 +1,6 @@
 /**
- * This process as a member of the fleet: it holds facts and the configuration, keeps membership with its peers, and
- * hands on what it learns. Programs add where the configuration comes from and what they do with it.
+ * This process as a member of the fleet: it stores facts and the configuration, tracks the membership, and shares all of
+ * them with its peers. The programs supply the source of the configuration and act on it.
  */
 import type { Address } from '../../../base/common/address.ts'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -20,55 +20,56 @@
 import type { ILogService } from '../../log/node/logger.ts'
 import { FrameServer } from '../../rpc/node/frameServer.ts'
 import { MembershipTable } from '../common/membershipTable.ts'
-import { computeProbeTimeout } from '../common/probeTimeout.ts'
+import { computeProbeTimeoutMs } from '../common/probeTimeout.ts'
 import { GossipService } from './gossipService.ts'
 
 export interface FleetMemberOptions {
-  /** Where peers reach this process. */
+  /** The address at which peers reach this process. */
   readonly address: string
   readonly hall: string
-  /** The address that its connections leave from. */
+  /** The local address of outgoing connections. */
   readonly localIp?: string
-  /** How much this host can do, in hundredths of a core. */
+  /** Processing capacity of this host, in hundredths of a core. */
   readonly weight?: number
-  /** Grows with each boot of the host. */
+  /** Grows with each process start. */
   readonly incarnation: number
   readonly clock: IClock
   readonly random: IRandom
   readonly log: ILogService
-  /** Members to meet first, and again when they have been lost. */
+  /** Members to connect to first, and again after they have been lost. */
   readonly listSeeds: () => readonly string[]
   readonly probePeriodMs?: number
-  /** How often members that are to be met first are tried again. */
+  /** How often the seeds are tried again while no other member is known. */
   readonly seedPeriodMs?: number
-  /** False where no gate is ever linked, which saves a timer. */
+  /** False if gates never connect to this process, which saves a timer. */
   readonly hasGates?: boolean
-  /** How long a starting process waits for the configuration's source and its peers. */
+  /** How long a starting process waits for the configuration source and for its peers. */
   readonly readyWaitMs: number
-  /** The source's first read holds all acknowledged writes, so no peer can know of a higher configuration. */
+  /** Whether the first read of the source returns all acknowledged writes, so that no peer can have a higher configuration. */
   readonly isSourceNewest?: boolean
 }
 
-/** How often gates get what is new. */
+/** How often gates are sent new facts. */
 const GATE_PUSH_PERIOD_MS = 100
-/** How often the number of the configuration in force is compared with the peers'. */
+/** How often the number of the local configuration is announced to some peers. */
 const ANNOUNCE_PERIOD_MS = 1000
-/** Members whose configuration is compared each time. */
-const COMPARED_COUNT = 2
-/** Members that are told at once of a new configuration; each of them tells as many, so four steps reach thousands. */
-const ANNOUNCED_COUNT = 8
-const FORGET_PERIOD_MS = 60_000
-const LEAVE_SPREAD_MS = 500
+/** Number of members that the configuration number is announced to each time. */
+const PERIODIC_ANNOUNCE_FANOUT = 2
+/** Number of members notified at once of a new configuration. Each of them notifies as many, so four steps reach thousands. */
+const CHANGE_ANNOUNCE_FANOUT = 8
+const EXPIRY_PERIOD_MS = 60_000
+const LEAVE_PROPAGATION_MS = 500
 const READY_POLL_MS = 20
 
 /**
- * A node that its seeds do not answer waits so long for a peer before it takes itself for the only one: hosts that start
- * together come up within 0.4 s of each other, and each would plan alone in the room of the others.
+ * How long a node whose seeds do not answer waits for any peer before it assumes that it is the only member. Hosts that
+ * start together come up within 0.4 s of each other; without the wait each would plan alone and use capacity that
+ * the others use too.
  */
-const LONELY_WAIT_MS = 1000
+const NO_PEER_WAIT_MS = 1000
 
-/** Peers that were asked for all that they know, and those that have answered. */
-class PeerAnswers {
+/** Requests all facts from peers while this member joins, and counts the peers that were asked and that answered. */
+class PeerRefreshTracker {
   private readonly _asked = new Set<PeerLink>()
   private readonly _answered = new Set<PeerLink>()
 
@@ -76,7 +77,7 @@
     return this._asked.size
   }
 
-  get count (): number {
+  get answeredCount (): number {
     return this._answered.size
   }
 
@@ -84,7 +85,7 @@
     if (this._asked.has(link)) return
     this._asked.add(link)
     link.onDidReceive(message => { if (message.kind === 'refreshed') this._answered.add(link) })
-    link.askAll(0)
+    link.askForRefresh(0)
   }
 }
 
@@ -95,12 +96,12 @@
   readonly gossip: GossipService
   private readonly _options: FleetMemberOptions
   private readonly _fetchGuard: FetchGuard
-  private readonly _accepted = new Set<PeerLink>()
+  private readonly _acceptedLinks = new Set<PeerLink>()
   private _closedTraffic: LinkTraffic = { sent: 0, received: 0 }
   private _isReady = false
   private readonly _onDidJoin = this._register(new Emitter<void>())
   private _hasJoined = false
-  /** Fired when the peers have said what they know, or the time for that is over. */
+  /** Fired when peers have sent the facts that they hold, or the wait for them has timed out. */
   readonly onDidJoin = this._onDidJoin.event
 
   constructor (options: FleetMemberOptions) {
@@ -117,81 +118,82 @@
       random,
       link: { ...this._createLinkOptions(), localAddress: options.localIp },
       listSeeds: options.listSeeds,
-      listAccepted: () => this._listPeerLinks(),
+      listAcceptedLinks: () => this._listAcceptedPeerLinks(),
       probePeriodMs: options.probePeriodMs,
-      probeTimeoutMs: () => computeProbeTimeout(this.membership.listLive().map(member => member.weight)),
+      probeTimeoutMs: () => computeProbeTimeoutMs(this.membership.listLive().map(member => member.weight)),
       seedPeriodMs: options.seedPeriodMs
     }))
-    this._register(this.configuration.onDidAccept(accepted => this._handleAccepted(accepted)))
+    this._register(this.configuration.onDidAccept(accepted => this._handleAcceptedConfiguration(accepted)))
     this._register(this.facts.onDidChange(fact => this._handleFact(fact)))
   }
 
-  /** Whether the configuration may be handed on and acted on. */
+  /** Whether the configuration may be shared and acted on. */
   get isReady (): boolean {
     return this._isReady
   }
 
-  /** Whether the peers have said what they know. */
+  /** Whether peers have sent the facts that they hold, or the wait for them has timed out. */
   get hasJoined (): boolean {
     return this._hasJoined
   }
 
-  /** Bytes over all links with other processes of the system. */
+  /** Bytes over all links to other processes of the system, closed ones included. */
   get traffic (): LinkTraffic {
-    return sumTraffic([this._closedTraffic, this.gossip.traffic, ...[...this._accepted].map(link => link.traffic)])
+    return sumTraffic([this._closedTraffic, this.gossip.traffic, ...[...this._acceptedLinks].map(link => link.traffic)])
   }
 
   listGateLinks (): readonly PeerLink[] {
-    return [...this._accepted].filter(link => link.peerRole === 'gate')
+    return [...this._acceptedLinks].filter(link => link.peerRole === 'gate')
   }
 
-  /** Links that other members opened. */
-  private _listPeerLinks (): readonly PeerLink[] {
-    return [...this._accepted].filter(link => link.peerRole === 'steward')
+  /** Links that other members opened to this one. */
+  private _listAcceptedPeerLinks (): readonly PeerLink[] {
+    return [...this._acceptedLinks].filter(link => link.peerRole === 'steward')
   }
 
   async listen (address: Address): Promise<void> {
-    const frames = this._register(new FrameServer(connection => this._accept(new PeerLink({ ...this._createLinkOptions(), connection }))))
+    const frames = this._register(new FrameServer(connection => this._acceptLink(new PeerLink({ ...this._createLinkOptions(), connection }))))
     await frames.listen(address.host, address.port)
   }
 
   /**
-   * The highest of the documents of the source and of the peers is taken before anything is handed on. Resolves when
-   * both have answered or the time is over. A source that is newest is enough to be ready, if its read resolves with
-   * true: hosts that start together would wait for each other.
+   * Waits for the source and the peers, and adopts the highest of their configurations before anything is shared. Resolves
+   * when both have answered or the wait has timed out. An authoritative source whose read resolves with true is enough to
+   * be ready; otherwise hosts that start together would wait for each other.
    */
   async join (sourceRead: Promise<unknown>): Promise<void> {
-    const { clock, readyWaitMs, isSourceNewest = false } = this._options
+    const { clock, readyWaitMs, isSourceNewest: isAuthoritative = false } = this._options
     if (this._options.hasGates !== false) this._register(startInterval(GATE_PUSH_PERIOD_MS, () => this.pushToGates()))
-    this._register(startInterval(FORGET_PERIOD_MS, () => this.facts.dropOld()))
-    this._register(startInterval(ANNOUNCE_PERIOD_MS, () => this._announceConfiguration(COMPARED_COUNT)))
-    const until = clock.now() + readyWaitMs
-    const reading = Promise.race([sourceRead, waitFor(readyWaitMs).then(() => false)])
-    if (isSourceNewest) void reading.then(isRead => { if (isRead === true) this._markReady('source') })
-    const answers = new PeerAnswers()
-    const isHeard = this._watchJoin(answers, reading, clock.now() + Math.min(readyWaitMs, LONELY_WAIT_MS))
-    while (!isHeard() && clock.now() < until) {
-      for (const link of [...this.gossip.links, ...this._listPeerLinks()]) answers.ask(link)
+    this._register(startInterval(EXPIRY_PERIOD_MS, () => this.facts.dropOld()))
+    this._register(startInterval(ANNOUNCE_PERIOD_MS, () => this._announceConfiguration(PERIODIC_ANNOUNCE_FANOUT)))
+    const deadline = clock.now() + readyWaitMs
+    const sourceResult = Promise.race([sourceRead, waitFor(readyWaitMs).then(() => false)])
+    if (isAuthoritative) void sourceResult.then(isRead => { if (isRead === true) this._markReady('source') })
+    const refreshes = new PeerRefreshTracker()
+    const isJoinComplete = this._createJoinCheck(refreshes, sourceResult, clock.now() + Math.min(readyWaitMs, NO_PEER_WAIT_MS))
+    while (!isJoinComplete() && clock.now() < deadline) {
+      for (const link of [...this.gossip.links, ...this._listAcceptedPeerLinks()]) refreshes.ask(link)
       await waitFor(READY_POLL_MS)
     }
     this._markReady('peers')
     this._hasJoined = true
-    this._options.log.info('joined', { asked: answers.askedCount, refreshed: answers.count, members: this.membership.listLive().length })
+    this._options.log.info('joined', { asked: refreshes.askedCount, refreshed: refreshes.answeredCount, members: this.membership.listLive().length })
     this._onDidJoin.fire()
   }
 
   /**
-   * Tells when enough was heard. Any one peer knows the members, whoever of the two opened the link: a seed that does not
-   * answer its dial must not hold up a node that its peers have found. Only where the source was not read, all that can
-   * be reached are needed for the highest configuration.
+   * Returns a function that checks whether enough peers have answered. If this member is ready, any one peer is enough,
+   * whichever side opened the link, since every peer knows the members: an unresponsive seed must not delay a node that
+   * other peers have found. With no answer by `noPeerDeadline` it joins alone. If it is not ready, as many peers as there
+   * are reachable seeds must answer, to determine the highest configuration.
    */
-  private _watchJoin (answers: PeerAnswers, reading: Promise<unknown>, lonelyUntil: number): () => boolean {
+  private _createJoinCheck (refreshes: PeerRefreshTracker, sourceResult: Promise<unknown>, noPeerDeadline: number): () => boolean {
     const { clock } = this._options
-    let reached: number | undefined
-    void Promise.all([this.gossip.meetSeeds(), reading]).then(([count]) => { reached = count })
+    let reachedSeedCount: number | undefined
+    void Promise.all([this.gossip.connectSeeds(), sourceResult]).then(([count]) => { reachedSeedCount = count })
     return () => {
-      if (this._isReady) return answers.count > 0 || (reached !== undefined && clock.now() >= lonelyUntil)
-      return reached !== undefined && answers.count >= reached
+      if (this._isReady) return refreshes.answeredCount > 0 || (reachedSeedCount !== undefined && clock.now() >= noPeerDeadline)
+      return reachedSeedCount !== undefined && refreshes.answeredCount >= reachedSeedCount
     }
   }
 
@@ -200,15 +202,15 @@
     const { log, address, hall } = this._options
     this._isReady = true
     log.info('ready', { address, hall, configuration: formatNumber(this.configuration.number), reason })
-    this._announceConfiguration(ANNOUNCED_COUNT)
+    this._announceConfiguration(CHANGE_ANNOUNCE_FANOUT)
   }
 
-  /** Has every linked peer say what it knows; what is higher comes back. */
+  /** Requests all facts from every linked peer, and its configuration if that is higher than the local one. */
   askPeers (): void {
-    for (const link of this.gossip.links) link.askAll(0)
+    for (const link of this.gossip.links) link.askForRefresh(0)
   }
 
-  /** Takes in a document that was read from the source. */
+  /** Offers a document that was read from the source to the configuration service, and logs a refusal. */
   offer (document: ConfigurationText): void {
     this.configuration.offer(document, 'platform').ifLeft(error => {
       if (error.resultName === 'configurationNotHigher') return
@@ -216,16 +218,16 @@
     })
   }
 
-  /** Tells peers of a planned stop, and gives the news time to spread. */
+  /** Announces a planned stop to peers and gates, and waits until the announcement has had time to propagate. */
   async leave (): Promise<void> {
     this.membership.leave()
     this.gossip.spreadNow(true)
     this.pushToGates()
-    await waitFor(LEAVE_SPREAD_MS)
+    await waitFor(LEAVE_PROPAGATION_MS)
   }
 
   pushToGates (): void {
-    for (const link of this.listGateLinks()) link.sendNews()
+    for (const link of this.listGateLinks()) link.sendNewFacts()
   }
 
   private _createLinkOptions () {
@@ -240,36 +242,36 @@
     }
   }
 
-  private _accept (link: PeerLink): void {
-    this._accepted.add(this._register(link))
-    link.onDidClose(() => this._dropAccepted(link))
+  private _acceptLink (link: PeerLink): void {
+    this._acceptedLinks.add(this._register(link))
+    link.onDidClose(() => this._dropAcceptedLink(link))
     link.onDidReceive(message => {
-      if (message.kind === 'hello') this._dropReplaced(link)
+      if (message.kind === 'hello') this._dropReplacedLinks(link)
       this.gossip.handleMessage(link, message)
     })
   }
 
-  /** A member keeps one link to another; the end of one that went silent is never heard here. */
-  private _dropReplaced (link: PeerLink): void {
+  /** Drops older links of the same peer. A peer keeps one link only, and the close of a stalled connection may never arrive. */
+  private _dropReplacedLinks (link: PeerLink): void {
     if (link.peerRole !== 'steward') return
-    for (const other of this._listPeerLinks()) if (other !== link && other.peerAddress === link.peerAddress) this._dropAccepted(other)
+    for (const other of this._listAcceptedPeerLinks()) if (other !== link && other.peerAddress === link.peerAddress) this._dropAcceptedLink(other)
   }
 
-  private _dropAccepted (link: PeerLink): void {
-    if (!this._accepted.delete(link)) return
+  private _dropAcceptedLink (link: PeerLink): void {
+    if (!this._acceptedLinks.delete(link)) return
     this._closedTraffic = sumTraffic([this._closedTraffic, link.traffic])
     this._release(link)
   }
 
-  /** Compares numbers with all processes; for gates it is also the sign that this one lives. */
+  /** Announces the configuration number to some members and to all gates. Gates also use it as a heartbeat. */
   private _announceConfiguration (count: number): void {
     this.gossip.announceConfiguration(count)
     for (const link of this.listGateLinks()) link.announceConfiguration()
   }
 
-  private _handleAccepted (accepted: AcceptedConfiguration): void {
+  private _handleAcceptedConfiguration (accepted: AcceptedConfiguration): void {
     this._options.log.info('configuration_accepted', { number: formatNumber(accepted.number), source: accepted.source })
-    this._announceConfiguration(ANNOUNCED_COUNT)
+    this._announceConfiguration(CHANGE_ANNOUNCE_FANOUT)
   }
 
   private _handleFact (fact: HeldFact): void {
@@ -282,10 +284,10 @@
       return
     }
     this.pushToGates()
-    // Suspicions come by the hundred when a fleet is slow, and spreading each at once would make it slower; a round is
-    // soon enough for them and for what refutes them.
+    // A slow fleet produces hundreds of suspicions, and forwarding each at once would slow it further. The next gossip
+    // round is soon enough for suspicions and for the facts that refute them.
     if (value.kind === 'member' && (value.state === 'suspect' || value.state === 'alive') && fact.source !== '') return
-    // What else matters does not wait for the next round.
+    // All other facts that reach this line are urgent.
     this.gossip.spreadNow(value.kind === 'member' && value.state === 'left' && fact.source === '')
   }
 }
--- a/src/services/membership/node/gossipService.ts
+++ b/src/services/membership/node/gossipService.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps links to the other stewards, spreads news over them and finds out who has died.
+ * Keeps links to neighbouring members, exchanges facts over them by gossip, and detects failed members by probes.
  */
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -11,10 +11,10 @@
 import type { DialOptions, LinkTraffic, PeerLink } from '../../facts/node/peerLink.ts'
 import { PeerClocks } from '../../pause/common/peerClocks.ts'
 import { DEFAULT_PROBE_TIMEOUT_MS } from '../common/probeTimeout.ts'
-import { NeighbourChoice } from '../common/neighbours.ts'
+import { NeighbourSelector } from '../common/neighbours.ts'
 import type { MembershipTable } from '../common/membershipTable.ts'
 
-/** A message, and the link that it came over. */
+/** A received message and its link. */
 export interface PeerMessage {
   readonly link: PeerLink
   readonly message: WireMessage
@@ -24,67 +24,70 @@
   readonly clock: IClock
   readonly membership: MembershipTable
   readonly random: IRandom
-  /** All that a link needs but the address. */
+  /** The options of each link, except for its address. */
   readonly link: Omit<DialOptions, 'address'>
-  /** Stewards to meet first, and again when they have been lost. */
+  /** Members to connect to first, and again after they have been lost. */
   readonly listSeeds: () => readonly string[]
-  /** Links that other members opened to this one. */
-  readonly listAccepted?: () => readonly PeerLink[]
+  /** Lists the links that other members opened to this one. */
+  readonly listAcceptedLinks?: () => readonly PeerLink[]
   readonly probePeriodMs?: number
-  /** How long a member has to answer; a function where it follows what the members' hosts can do. */
+  /** The probe timeout; a function where it depends on the capacity of the members' hosts. */
   readonly probeTimeoutMs?: number | (() => number)
-  readonly spreadPeriodMs?: number
-  /** How often one member gets everything that it was not sent yet. */
-  readonly comparePeriodMs?: number
+  readonly gossipPeriodMs?: number
+  /** How often one peer is sent all facts since the last such exchange over its link. */
+  readonly antiEntropyPeriodMs?: number
   readonly seedPeriodMs?: number
 }
 
-/** Members that get news in each round. */
-const SPREAD_COUNT = 2
-/** Rounds for which a fact is news: each steward passes it on about SPREAD_COUNT times as often, whatever the number of members. */
-const NEWS_ROUNDS = 3
-/** Members that are asked to probe one that does not answer. */
-const HELPER_COUNT = 2
-/** More than a member has neighbours: all are told at once that this one leaves, since they must stop sending callers here. */
-const LEAVE_COUNT = 32
-/** How often what is known of members is compared with one neighbour's, and how often one is told all of them at most. */
-const MEMBERS_PERIOD_MS = 1000
-/** How often links that serve nothing any more are closed, and one member taken for dead, or seed, is tried. */
-const UPKEEP_PERIOD_MS = 2000
-/** Members that other urgent news goes to at once; each of them passes it on to as many. */
-const URGENT_COUNT = 3
-/** Urgent news that comes within this time goes out together: when a fleet starts, all of its members are news. */
-const URGENT_DELAY_MS = 20
-/** Members whose clocks are asked for; one answer is enough. */
-const COMPARED_CLOCKS = 3
-/** The first links get all that is known; later ones, in a fleet that is known already, what is new. */
-const FULL_NEWS_LINKS = 3
+/** Number of members that recent facts are sent to in each round. */
+const GOSSIP_FANOUT = 2
+/**
+ * Number of rounds in which a fact counts as recent. Each member thus forwards it about GOSSIP_FANOUT times in each of
+ * these rounds, whatever the number of members.
+ */
+const GOSSIP_ROUNDS = 3
+/** Number of members that are asked to probe a member that does not answer this one. */
+const INDIRECT_PROBE_COUNT = 2
+/** More than a member has neighbours: all are notified at once that this one leaves, since they must stop sending callers here. */
+const LEAVE_FANOUT = 32
+/** How often the member digest is sent to one neighbour, and the minimum interval between two full member lists to one peer. */
+const MEMBER_DIGEST_PERIOD_MS = 1000
+/** How often unused links are closed, and a connection to one dead member or lost seed is attempted. */
+const LINK_MAINTENANCE_PERIOD_MS = 2000
+/** Number of members that other urgent facts are sent to at once; each of them forwards them to as many. */
+const URGENT_FANOUT = 3
+/** Urgent facts within this time are sent together: while a fleet starts, every member is a new fact. */
+const URGENT_BATCH_DELAY_MS = 20
+/** Number of members whose clocks are requested; one answer is enough. */
+const CLOCK_SAMPLE_COUNT = 3
+/** The first links are sent all facts when they open. Later ones get recent facts only, since the fleet has the older ones. */
+const FULL_SYNC_LINK_COUNT = 3
 
 export class GossipService extends Disposable {
   private readonly _options: GossipServiceOptions
   private readonly _links = new Map<string, PeerLink>()
-  private readonly _dialing = new Map<string, Promise<PeerLink | undefined>>()
-  private readonly _waitingAcks = new Map<number, () => void>()
+  private readonly _pendingDials = new Map<string, Promise<PeerLink | undefined>>()
+  private readonly _pendingPings = new Map<number, () => void>()
   private readonly _getProbeTimeoutMs: () => number
   private _nextPingId = 1
-  /** The facts' sequence at the end of the last rounds, the oldest first. */
-  private _roundMarks: readonly number[] = []
+  /** The sequence number of the fact store at the end of each of the last rounds, oldest first. */
+  private _roundSequences: readonly number[] = []
   private _closedTraffic: LinkTraffic = { sent: 0, received: 0 }
   private _urgentTimer: NodeJS.Timeout | undefined
-  private _urgentCount = 0
+  private _urgentFanout = 0
   private _isCheckingLinks = false
-  private readonly _neighbourChoice: NeighbourChoice
-  /** Links that someone else needs, besides those to neighbours. */
-  private _heldAddresses: readonly string[] = []
-  /** Links that served no neighbour at the last look. */
-  private _spareLinks = new Set<PeerLink>()
-  private readonly _toldMembersAt = new WeakMap<PeerLink, number>()
+  private readonly _neighbourSelector: NeighbourSelector
+  /** Members to which links stay open although they may not be neighbours. */
+  private _retainedAddresses: readonly string[] = []
+  /** Links that were not needed at the last check; they are closed if they are still not needed at the next one. */
+  private _unusedLinks = new Set<PeerLink>()
+  private readonly _membersSentAt = new WeakMap<PeerLink, number>()
   private readonly _onDidReceive = this._register(new Emitter<PeerMessage>())
-  /** Every message of a peer, whoever of the two opened the link. */
+  /** Fired for messages that gossip itself does not handle, whichever side opened the link. */
   readonly onDidReceive = this._onDidReceive.event
   private readonly _peerClocks = new PeerClocks()
   private readonly _onDidCompareClocks = this._register(new Emitter<number>())
-  /** By how much a member's clock has gained on this one's since the last time, in milliseconds. */
+  /** Fired with the time that a peer's clock has gained on the local one since the last comparison, in milliseconds. */
   readonly onDidCompareClocks = this._onDidCompareClocks.event
 
   constructor (options: GossipServiceOptions) {
@@ -94,105 +97,112 @@
     this._getProbeTimeoutMs = typeof probeTimeoutMs === 'number' ? () => probeTimeoutMs : probeTimeoutMs
     this._register(toDisposable(() => clearTimeout(this._urgentTimer)))
     this._register(startInterval(options.probePeriodMs ?? 500, () => { void this._probe() }))
-    this._register(startInterval(options.spreadPeriodMs ?? 200, () => this._spread()))
-    this._register(startInterval(options.comparePeriodMs ?? 4000, () => this._compare()))
-    this._neighbourChoice = new NeighbourChoice(options.link.hello.address)
-    this._register(startInterval(options.seedPeriodMs ?? 2000, () => this._meetFirst()))
-    this._register(startInterval(MEMBERS_PERIOD_MS, () => this._compareMembers()))
-    this._register(startInterval(UPKEEP_PERIOD_MS, () => this._keepLinks()))
+    this._register(startInterval(options.gossipPeriodMs ?? 200, () => this._runGossipRound()))
+    this._register(startInterval(options.antiEntropyPeriodMs ?? 4000, () => this._reconcileWithPeer()))
+    this._neighbourSelector = new NeighbourSelector(options.link.hello.address)
+    this._register(startInterval(options.seedPeriodMs ?? 2000, () => this._connectSeedsIfAlone()))
+    this._register(startInterval(MEMBER_DIGEST_PERIOD_MS, () => this._sendMemberDigest()))
+    this._register(startInterval(LINK_MAINTENANCE_PERIOD_MS, () => this._updateLinks()))
   }
 
-  /** Bytes over all links that this steward opened, closed ones included. */
+  /** Bytes over all links that this member opened, closed ones included. */
   get traffic (): LinkTraffic {
     return sumTraffic([this._closedTraffic, ...this.links.map(link => link.traffic)])
   }
 
-  /** Links that this steward opened. */
+  /** Links that this member opened. */
   get links (): readonly PeerLink[] {
     return [...this._links.values()]
   }
 
-  /** Asks all seeds that are not linked yet; resolves with how many are reached. */
-  async meetSeeds (): Promise<number> {
+  /** Connects to all seeds that are not linked yet; resolves with the number of linked seeds. */
+  async connectSeeds (): Promise<number> {
     const own = this._options.link.hello.address
     const seeds = this._options.listSeeds().filter(address => address !== own)
     const links = await Promise.all(seeds.map(address => this._getLink(address)))
     return links.filter(link => link !== undefined).length
   }
 
-  /** Members that this one links to, probes, and tells news. */
+  /** Members that this one links to, probes and gossips with. */
   listNeighbours (): readonly string[] {
-    return this._neighbourChoice.choose(this._options.membership.listPeerAddresses())
+    return this._neighbourSelector.choose(this._options.membership.listPeerAddresses())
   }
 
-  /** Keeps links to some members open, whether they are neighbours or not. */
+  /** Sets the members to which links stay open although they may not be neighbours. */
   holdLinks (addresses: readonly string[]): void {
-    this._heldAddresses = addresses
+    this._retainedAddresses = addresses
   }
 
-  /** A member that knows no other meets its seeds. */
-  private _meetFirst (): void {
-    if (this._options.membership.listPeerAddresses().length === 0) void this.meetSeeds()
+  /** Connects to the seeds if no other member is known. */
+  private _connectSeedsIfAlone (): void {
+    if (this._options.membership.listPeerAddresses().length === 0) void this.connectSeeds()
   }
 
   /**
-   * Members link to a few neighbours, so that what a start costs in links does not grow with the fleet.
+   * Closes links that were needed neither now nor at the last check, so that the number of links of a member does not
+   * grow with the fleet. Then tries to reconnect to a lost member.
    */
-  private _keepLinks (): void {
-    const needed = new Set([...this.listNeighbours(), ...this._heldAddresses])
-    const spare = [...this._links].filter(([address]) => !needed.has(address))
-    for (const [address, link] of spare) if (this._spareLinks.has(link)) this._dropLink(address, link)
-    this._spareLinks = new Set(spare.map(([, link]) => link))
-    void this._meetLost()
+  private _updateLinks (): void {
+    const needed = new Set([...this.listNeighbours(), ...this._retainedAddresses])
+    const unused = [...this._links].filter(([address]) => !needed.has(address))
+    for (const [address, link] of unused) if (this._unusedLinks.has(link)) this._dropLink(address, link)
+    this._unusedLinks = new Set(unused.map(([, link]) => link))
+    void this._reconnectLost()
   }
 
-  /** After a partition both sides take each other for dead, and nobody would ever ask again. */
-  private async _meetLost (): Promise<void> {
+  /**
+   * Tries to connect to one dead member or lost seed. After a partition each side considers the other one dead and no
+   * longer contacts it, so without this the two would never merge.
+   */
+  private async _reconnectLost (): Promise<void> {
     const { membership, listSeeds, link: { hello } } = this._options
-    const live = new Set(membership.listPeerAddresses())
-    const lostSeeds = listSeeds().filter(address => address !== hello.address && !live.has(address))
-    const [lost] = this._draw([...lostSeeds, ...membership.listDead().map(member => member.address)], 1)
-    if (lost === undefined) return
-    const link = await this._getLink(lost)
-    link?.sendNews()
-    link?.askAll(0)
+    const liveAddresses = new Set(membership.listPeerAddresses())
+    const lostSeeds = listSeeds().filter(address => address !== hello.address && !liveAddresses.has(address))
+    const [lostAddress] = this._pickRandom([...lostSeeds, ...membership.listDead().map(member => member.address)], 1)
+    if (lostAddress === undefined) return
+    const link = await this._getLink(lostAddress)
+    link?.sendNewFacts()
+    link?.askForRefresh(0)
   }
 
-  /** Open links to neighbours, whoever of the two opened them. */
-  private _listNeighbourLinks (): readonly PeerLink[] {
-    return [...this._links.values(), ...this._options.listAccepted?.() ?? []]
+  /** Open links to other members, whichever side opened them. */
+  private _listOpenLinks (): readonly PeerLink[] {
+    return [...this._links.values(), ...this._options.listAcceptedLinks?.() ?? []]
   }
 
-  /** Spreads news without waiting for the next round: to many members at once where this one leaves, to some otherwise. */
+  /** Sends recent facts before the next round: to LEAVE_FANOUT members if this one leaves, otherwise to URGENT_FANOUT. */
   spreadNow (isLeaving: boolean): void {
-    this._urgentCount = Math.max(this._urgentCount, isLeaving ? LEAVE_COUNT : URGENT_COUNT)
+    this._urgentFanout = Math.max(this._urgentFanout, isLeaving ? LEAVE_FANOUT : URGENT_FANOUT)
     if (this._urgentTimer !== undefined) return
     this._urgentTimer = setTimeout(() => {
-      this._sendRecentTo(this._urgentCount)
+      this._sendRecentFacts(this._urgentFanout)
       this._urgentTimer = undefined
-      this._urgentCount = 0
-    }, URGENT_DELAY_MS)
+      this._urgentFanout = 0
+    }, URGENT_BATCH_DELAY_MS)
   }
 
-  /** Says which configuration is in force here to so many members: a higher one comes back, a lower one is asked for. */
+  /**
+   * Sends the number of the local configuration to some members. A member with a higher configuration answers with its
+   * number, and one with a lower configuration requests the local one.
+   */
   announceConfiguration (count: number): void {
-    for (const link of this._draw(this._listNeighbourLinks(), count)) link.announceConfiguration()
+    for (const link of this._pickRandom(this._listOpenLinks(), count)) link.announceConfiguration()
   }
 
-  /** Takes in an answer that came over a link which another process opened. */
+  /** Handles a message of a link, whichever side opened it. */
   handleMessage (link: PeerLink, message: WireMessage): void {
-    if (message.kind === 'ack') this._takeAck(link, message.id, message.at)
+    if (message.kind === 'ack') this._handleAck(link, message.id, message.at)
     else if (message.kind === 'ping') void this._answerPing(link, message.id, message.target)
-    else if (message.kind === 'membersHeld') this._answerMembers(link, message.digest)
+    else if (message.kind === 'membersHeld') this._handleMemberDigest(link, message.digest)
     else this._onDidReceive.fire({ link, message })
   }
 
-  /** A link to a member, opened if there is none; undefined when the member cannot be reached. */
+  /** Returns the link to a member, opened if there is none; undefined if the member cannot be reached. */
   connect (address: string): Promise<PeerLink | undefined> {
     return this._getLink(address)
   }
 
-  /** Ends the link to a member, if there is one: nothing was heard over it for too long. */
+  /** Closes the link to a member, if there is one. For callers that have received nothing over it for too long. */
   dropLink (address: string): void {
     const link = this._links.get(address)
     if (link !== undefined) this._dropLink(address, link)
@@ -202,35 +212,36 @@
     if (target === undefined || await this._ping(target)) link.send({ kind: 'ack', id, at: Math.round(this._options.clock.now()) })
   }
 
-  private _takeAck (link: PeerLink, id: number, at: number | undefined): void {
+  private _handleAck (link: PeerLink, id: number, at: number | undefined): void {
     if (at !== undefined) this._onDidCompareClocks.fire(this._peerClocks.compare(link.peerAddress, at, this._options.clock.now()))
-    this._waitingAcks.get(id)?.()
+    this._pendingPings.get(id)?.()
   }
 
-  /** Asks some linked members for their clocks. */
+  /** Requests the time on the clocks of some linked members. */
   async compareClocks (): Promise<void> {
-    await Promise.all(this._draw(this.links, COMPARED_CLOCKS).map(link => this._pingOver(link)))
+    await Promise.all(this._pickRandom(this.links, CLOCK_SAMPLE_COUNT).map(link => this._pingOverLink(link)))
   }
 
   private async _probe (): Promise<void> {
     const { membership, link: { log } } = this._options
-    membership.expire()
-    const target = membership.chooseProbe(this.listNeighbours())
+    membership.expireMembers()
+    const target = membership.chooseProbeTarget(this.listNeighbours())
     if (target === undefined) return
     const link = this._links.get(target)
     if (await this._ping(target) || this._isDisposed) return
     log.info('probe_unanswered', { member: target, is_linked: link !== undefined })
     const others = this.listNeighbours().filter(address => address !== target)
-    const helpers = this._draw(others, HELPER_COUNT)
-    const answers = await Promise.all([this._pingAnew(target, link), ...helpers.map(helper => this._ping(helper, target))])
+    const helpers = this._pickRandom(others, INDIRECT_PROBE_COUNT)
+    const answers = await Promise.all([this._pingOverNewLink(target, link), ...helpers.map(helper => this._ping(helper, target))])
     if (!answers.includes(true) && !this._isDisposed) membership.suspect(target)
   }
 
   /**
-   * Asks over a new link: the one that the probe went over may have gone silent while the member lives. If so, others
-   * may have gone silent with it. Without a link from before, the probe went over a new one already.
+   * Repeats a probe over a new link, since the existing one may have stalled while the member is alive. If it has, other
+   * links may have stalled too, and all are checked. `link` is the link that existed before the failed probe; without one
+   * that probe already went over a new link.
    */
-  private async _pingAnew (address: string, link: PeerLink | undefined): Promise<boolean> {
+  private async _pingOverNewLink (address: string, link: PeerLink | undefined): Promise<boolean> {
     if (link === undefined) return false
     this._dropLink(address, link)
     if (!await this._ping(address) || this._isDisposed) return false
@@ -240,15 +251,15 @@
   }
 
   /**
-   * Drops every link over which nothing comes back. Without it each was found by its own probe only, once in 43 s in a
-   * fleet of 86, and until then what was sent over it was lost.
+   * Drops every link over which no answer arrives. Otherwise each stalled link is found only by its own probe, which comes
+   * once in 43 s in a fleet of 86 members, and everything sent over it until then is lost.
    */
   private async _checkLinks (): Promise<void> {
     if (this._isCheckingLinks) return
     this._isCheckingLinks = true
     const checks = [...this._links].map(async ([address, link]) => {
       const received = link.traffic.received
-      if (await this._pingOver(link) || link.traffic.received > received) return 0
+      if (await this._pingOverLink(link) || link.traffic.received > received) return 0
       this._dropLink(address, link)
       return 1
     })
@@ -265,67 +276,68 @@
     this._release(link)
   }
 
-  /** Whether the member, or through it a third one, answers in time. */
+  /** Resolves with whether the member answers in time or, if `target` is given, whether it reports that `target` answers it. */
   private async _ping (address: string, target?: string): Promise<boolean> {
     const link = await this._getLink(address)
-    return link !== undefined && await this._pingOver(link, target)
+    return link !== undefined && await this._pingOverLink(link, target)
   }
 
-  private async _pingOver (link: PeerLink, target?: string): Promise<boolean> {
+  private async _pingOverLink (link: PeerLink, target?: string): Promise<boolean> {
     const id = this._nextPingId++
     const timeoutMs = this._getProbeTimeoutMs() * (target === undefined ? 1 : 2)
     return await new Promise(resolve => {
       const end = (isAlive: boolean) => {
         clearTimeout(timer)
-        this._waitingAcks.delete(id)
+        this._pendingPings.delete(id)
         resolve(isAlive)
       }
       const timer = setTimeout(() => end(false), timeoutMs)
-      this._waitingAcks.set(id, () => end(true))
+      this._pendingPings.set(id, () => end(true))
       link.send(target === undefined ? { kind: 'ping', id } : { kind: 'ping', id, target })
     })
   }
 
-  private _spread (): void {
-    this._sendRecentTo(SPREAD_COUNT)
-    this._roundMarks = [...this._roundMarks, this._options.link.facts.sequence].slice(-NEWS_ROUNDS)
+  private _runGossipRound (): void {
+    this._sendRecentFacts(GOSSIP_FANOUT)
+    this._roundSequences = [...this._roundSequences, this._options.link.facts.sequence].slice(-GOSSIP_ROUNDS)
   }
 
-  /** News goes over the links that are open; a new neighbour's is opened now, and is told from the next round on. */
-  private _sendRecentTo (count: number): void {
+  /** Sends recent facts over open links. A missing link to a neighbour is opened here and used from the next round on. */
+  private _sendRecentFacts (count: number): void {
     for (const address of this.listNeighbours()) if (!this._links.has(address)) void this._getLink(address)
-    for (const link of this._draw(this._listNeighbourLinks(), count)) link.sendRecent(this._roundMarks[0] ?? 0)
+    for (const link of this._pickRandom(this._listOpenLinks(), count)) link.sendRecentFacts(this._roundSequences[0] ?? 0)
   }
 
   /**
-   * Members that start together learn of each other over few links, and news are told for some rounds only: without it
-   * some of 24 members did not know all others 8 s after their start.
+   * Sends the member digest to one peer, which answers with its member facts if they differ. Members that start together
+   * learn of each other over few links, and facts are gossiped for a few rounds only: without this comparison some of
+   * 24 members did not know all others 8 s after their start.
    */
-  private _compareMembers (): void {
+  private _sendMemberDigest (): void {
     const digest = this._options.membership.computeDigest()
-    for (const link of this._draw(this._listNeighbourLinks(), 1)) link.send({ kind: 'membersHeld', digest })
+    for (const link of this._pickRandom(this._listOpenLinks(), 1)) link.send({ kind: 'membersHeld', digest })
   }
 
-  private _answerMembers (link: PeerLink, digest: number): void {
+  private _handleMemberDigest (link: PeerLink, digest: number): void {
     const { membership, link: { facts } } = this._options
     const now = performance.now()
-    if (digest === membership.computeDigest() || now - (this._toldMembersAt.get(link) ?? -Infinity) < MEMBERS_PERIOD_MS) return
-    this._toldMembersAt.set(link, now)
-    link.sendFacts(facts.createFacts(membership.listToCompare()))
-    // The other side may know what is not known here.
+    if (digest === membership.computeDigest() || now - (this._membersSentAt.get(link) ?? -Infinity) < MEMBER_DIGEST_PERIOD_MS) return
+    this._membersSentAt.set(link, now)
+    link.sendFacts(facts.createFacts(membership.listFactsToSync()))
+    // The peer may have facts that are missing here.
     link.send({ kind: 'membersHeld', digest: membership.computeDigest() })
   }
 
-  /** Mends what the rounds missed. */
-  private _compare (): void {
-    for (const link of this._draw(this._listNeighbourLinks(), 1)) link.sendNews()
+  /** Sends one peer all facts since the last such exchange over its link, including those that gossip rounds did not send to it. */
+  private _reconcileWithPeer (): void {
+    for (const link of this._pickRandom(this._listOpenLinks(), 1)) link.sendNewFacts()
   }
 
   private _getLink (address: string): Promise<PeerLink | undefined> {
     const link = this._links.get(address)
     if (link !== undefined && !link.isClosed) return Promise.resolve(link)
-    const dialing = this._dialing.get(address) ?? this._dial(address)
-    this._dialing.set(address, dialing)
+    const dialing = this._pendingDials.get(address) ?? this._dial(address)
+    this._pendingDials.set(address, dialing)
     return dialing
   }
 
@@ -337,7 +349,7 @@
         return undefined
       }
       this._links.set(address, link)
-      if (this._links.size <= FULL_NEWS_LINKS) link.sendNews()
+      if (this._links.size <= FULL_SYNC_LINK_COUNT) link.sendNewFacts()
       this._register(link)
       link.onDidReceive(message => this.handleMessage(link, message))
       link.onDidClose(() => this._dropLink(address, link))
@@ -345,17 +357,17 @@
     } catch {
       return undefined
     } finally {
-      this._dialing.delete(address)
+      this._pendingDials.delete(address)
     }
   }
 
-  private _draw<T> (items: readonly T[], count: number): readonly T[] {
+  private _pickRandom<T> (items: readonly T[], count: number): readonly T[] {
     if (items.length <= count) return items
-    const drawn = new Set<T>()
-    while (drawn.size < count) {
+    const picked = new Set<T>()
+    while (picked.size < count) {
       const item = items[Math.floor(this._options.random.next() * items.length)]
-      if (item !== undefined) drawn.add(item)
+      if (item !== undefined) picked.add(item)
     }
-    return [...drawn]
+    return [...picked]
   }
 }
--- a/src/services/membership/test/boundedLinks.test.ts
+++ b/src/services/membership/test/boundedLinks.test.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet that is larger than a member has neighbours, over real sockets.
+ * Tests a fleet over real sockets that has more members than a member has neighbours.
  */
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -16,18 +16,18 @@
 
 const MEMBER_COUNT = 24
 const JOIN_MS = 8000
-const SPREAD_MS = 2000
-const CLOSE_MS = 8000
-/** A probe, its helpers and a suspicion of 2 s, for each that goes. */
-const LOSS_MS = 12_000
-/** The lost are tried one by one. */
-const HEAL_MS = 12_000
+const PROPAGATION_MS = 2000
+const LINK_CLOSE_MS = 8000
+/** Time for a probe, the indirect probes and a suspicion of 2 s for each lost member. */
+const LOSS_DETECTION_MS = 12_000
+/** Lost members are tried one by one. */
+const RECOVERY_MS = 12_000
 const SEED_COUNT = 3
 
 interface Fleet {
   readonly members: readonly FleetMember[]
-  /** A member at the address of one that is gone. */
-  readonly startAgain: (index: number) => Promise<FleetMember>
+  /** Starts a new member at the address of one that was disposed. */
+  readonly restart: (index: number) => Promise<FleetMember>
 }
 
 function createMember (addresses: readonly string[], index: number, incarnation: number): FleetMember {
@@ -61,25 +61,25 @@
   }
   try {
     const members = await Promise.all(addresses.map((_, index) => start(index, 1)))
-    assert.ok(await waitUntil(() => members.every(member => member.membership.listLive().length === MEMBER_COUNT), JOIN_MS), 'not all know all')
-    await run({ members, startAgain: index => start(index, 2) })
+    assert.ok(await waitUntil(() => members.every(member => member.membership.listLive().length === MEMBER_COUNT), JOIN_MS), 'some members do not know all others')
+    await run({ members, restart: index => start(index, 2) })
   } finally {
     for (const part of [...relays, ...started]) part.dispose()
   }
 }
 
-test('members keep links to a few neighbours, and what one learns reaches all', () => runWith(async ({ members }) => {
-  assert.ok(await waitUntil(() => members.every(member => member.gossip.links.length <= RING_COUNT), CLOSE_MS), 'links to others are kept')
+test('members keep links to a few neighbours, and a fact of one member reaches all', () => runWith(async ({ members }) => {
+  assert.ok(await waitUntil(() => members.every(member => member.gossip.links.length <= RING_COUNT), LINK_CLOSE_MS), 'links to members that are not neighbours are kept')
   members[5]?.facts.merge({ subject: formatLeavingSubject('u'), incarnation: 1, counter: 1, value: { kind: 'leaving', upstream: 'u', signal: 's' }, ageMs: 0 })
-  assert.ok(await waitUntil(() => members.every(member => member.facts.get(formatLeavingSubject('u')) !== undefined), SPREAD_MS), 'not all heard')
+  assert.ok(await waitUntil(() => members.every(member => member.facts.get(formatLeavingSubject('u')) !== undefined), PROPAGATION_MS), 'the fact did not reach all members')
 }))
 
-test('seeds that all start anew, and know nobody, are found by the members that are left', () => runWith(async ({ members, startAgain }) => {
+test('seeds that all restart, and know no other member, are found by the remaining members', () => runWith(async ({ members, restart: startAgain }) => {
   const left = members.slice(SEED_COUNT)
   for (const member of members.slice(0, SEED_COUNT)) member.dispose()
-  assert.ok(await waitUntil(() => left.every(member => member.membership.listLive().length === left.length), LOSS_MS), 'the loss was not noticed')
+  assert.ok(await waitUntil(() => left.every(member => member.membership.listLive().length === left.length), LOSS_DETECTION_MS), 'the loss of the seeds was not detected')
   const again = await Promise.all([0, 1, 2].map(startAgain))
-  assert.ok(await waitUntil(() => [...again, ...left].every(member => member.membership.listLive().length === MEMBER_COUNT), HEAL_MS), 'not all found each other')
+  assert.ok(await waitUntil(() => [...again, ...left].every(member => member.membership.listLive().length === MEMBER_COUNT), RECOVERY_MS), 'some members did not find all others')
 }))
 
 test.run()
--- a/src/services/membership/test/fleetMember.test.ts
+++ b/src/services/membership/test/fleetMember.test.ts
@@ -26,7 +26,7 @@
   })
 }
 
-test('a member that started before its seed meets it soon after the seed starts', async () => {
+test('a member that started before its seed connects to it soon after the seed starts', async () => {
   const seedPort = await findFreePort()
   const early = createMember(1, seedPort)
   const seed = createMember(seedPort, seedPort)
@@ -42,7 +42,7 @@
   }
 })
 
-test('a member that a peer has found does not wait for its silent seed', async () => {
+test('a member that a peer has connected to does not wait for its unresponsive seed', async () => {
   const port = await findFreePort()
   const silent = createServer(() => {})
   await new Promise<void>(resolve => { silent.listen(0, '127.0.0.1', resolve) })
@@ -63,20 +63,20 @@
 })
 
 const SOURCES = [
-  { name: 'is newest and was read', isSourceNewest: true, isRead: true, isReadyAlone: true },
-  { name: 'is newest and could not be read', isSourceNewest: true, isRead: false, isReadyAlone: false },
-  { name: 'may be stale', isSourceNewest: false, isRead: true, isReadyAlone: false }
+  { name: 'is authoritative and was read', isAuthoritative: true, isRead: true, isReadyBeforePeers: true },
+  { name: 'is authoritative and could not be read', isAuthoritative: true, isRead: false, isReadyBeforePeers: false },
+  { name: 'may be stale', isAuthoritative: false, isRead: true, isReadyBeforePeers: false }
 ]
 
-for (const { name, isSourceNewest, isRead, isReadyAlone } of SOURCES) {
-  test(`a member whose source ${name} is ${isReadyAlone ? '' : 'not '}ready before its silent seed's time is over`, async () => {
+for (const { name, isAuthoritative, isRead, isReadyBeforePeers } of SOURCES) {
+  test(`a member whose source ${name} is ${isReadyBeforePeers ? '' : 'not '}ready before the wait for its unresponsive seed times out`, async () => {
     const silent = createServer(() => {})
     await new Promise<void>(resolve => { silent.listen(0, '127.0.0.1', resolve) })
-    const member = createMember(1, (silent.address() as AddressInfo).port, { isSourceNewest, readyWaitMs: 400 })
+    const member = createMember(1, (silent.address() as AddressInfo).port, { isSourceNewest: isAuthoritative, readyWaitMs: 400 })
     try {
       const joining = member.join(Promise.resolve(isRead))
       await new Promise(resolve => { setImmediate(resolve) })
-      assert.is(member.isReady, isReadyAlone)
+      assert.is(member.isReady, isReadyBeforePeers)
       assert.not(member.hasJoined)
       await joining
       assert.ok(member.isReady && member.hasJoined)
--- a/src/services/membership/test/membershipTable.test.ts
+++ b/src/services/membership/test/membershipTable.test.ts
@@ -16,7 +16,7 @@
 
   constructor (readonly address: string, clock: VirtualClock, incarnation = 1) {
     this.facts = new FactStore(clock)
-    this.table = new MembershipTable({ address, hall: 'h', incarnation, clock, random: new SeededRandom(1), facts: this.facts, suspicionMs: 1000, rememberMs: 5000 })
+    this.table = new MembershipTable({ address, hall: 'h', incarnation, clock, random: new SeededRandom(1), facts: this.facts, suspicionTimeoutMs: 1000, retentionMs: 5000 })
   }
 
   receive (other: Node): void {
@@ -37,35 +37,35 @@
   return { clock, a, b }
 }
 
-test('a suspect that does not answer is dead after its time, and forgotten later', () => {
+test('a suspect that does not refute the suspicion is dead after the timeout, and is removed later', () => {
   const { clock, a } = createPair()
   a.table.suspect('b')
   assert.is(a.findState('b'), 'suspect')
   assert.ok(a.table.listLive().some(member => member.address === 'b'))
   clock.advance(999)
-  a.table.expire()
+  a.table.expireMembers()
   assert.is(a.findState('b'), 'suspect')
   clock.advance(1)
-  a.table.expire()
+  a.table.expireMembers()
   assert.is(a.findState('b'), 'dead')
   assert.equal(a.table.listPeers(), [])
   clock.advance(5000)
-  a.table.expire()
+  a.table.expireMembers()
   assert.is(a.findState('b'), undefined)
 })
 
-test('a member that hears itself called dead comes back with a higher incarnation', () => {
+test('a member that receives the fact of its own death is alive again with a higher incarnation', () => {
   const { clock, a, b } = createPair()
   a.table.suspect('b')
   clock.advance(1000)
-  a.table.expire()
+  a.table.expireMembers()
   b.receive(a)
   assert.is(b.table.incarnation, 2)
   a.receive(b)
   assert.is(a.findState('b'), 'alive')
 })
 
-test('a host replaced under its address is heard even when its clock is behind', () => {
+test('a host that replaces another at the same address is accepted even if its clock, and so its incarnation, is behind', () => {
   const { clock, a } = createPair()
   const replaced = new Node('b', clock, 0)
   replaced.receive(a)
@@ -74,7 +74,7 @@
   assert.is(a.findState('b'), 'alive')
 })
 
-test('a member that left as planned is not taken back by old news', () => {
+test('old facts do not make a member alive again that left as planned', () => {
   const { a, b } = createPair()
   b.table.leave()
   a.receive(b)
@@ -85,16 +85,16 @@
   assert.is(b.findState('b'), 'left')
 })
 
-test('every member is probed once in a round', () => {
+test('every member is probed once per round', () => {
   const clock = new VirtualClock()
   const a = new Node('a', clock)
   for (const name of ['b', 'c', 'd', 'e']) a.receive(new Node(name, clock))
-  const round = Array.from({ length: 4 }, () => a.table.chooseProbe())
+  const round = Array.from({ length: 4 }, () => a.table.chooseProbeTarget())
   assert.equal([...round].sort(), ['b', 'c', 'd', 'e'])
-  assert.is(new Node('z', clock).table.chooseProbe(), undefined)
+  assert.is(new Node('z', clock).table.chooseProbeTarget(), undefined)
 })
 
-test('whatever was claimed during a partition, after it all see each other alive', () => {
+test('all members consider each other alive after a partition, whatever states were claimed during it', () => {
   const step = fc.record({ kind: fc.constantFrom('suspect', 'expire', 'hear'), from: fc.nat({ max: 3 }), to: fc.nat({ max: 3 }) })
   fc.assert(fc.property(fc.array(step, { maxLength: 30 }), steps => {
     const clock = new VirtualClock()
@@ -109,7 +109,7 @@
       else if (kind === 'hear') node.receive(other)
       else {
         clock.advance(1000)
-        node.table.expire()
+        node.table.expireMembers()
       }
     }
     for (let round = 0; round < 3; round++) shareAll()
@@ -117,7 +117,7 @@
   }), { seed: SEED, numRuns: 1000 })
 })
 
-test('duties are shared out: few have each, all have the same picture, and a loss moves only what was lost', () => {
+test('each duty has few stewards, all compute the same assignment, and a lost member moves only its own duties', () => {
   const members = Array.from({ length: 9 }, (_, index) => ({ address: `10.0.0.${index}:1`, hall: `h${index % 3}`, state: 'alive' as const, incarnation: 1, weight: 0 }))
   const rest = members.slice(1)
   for (let index = 0; index < 40; index++) {
--- a/src/services/membership/test/neighbours.test.ts
+++ b/src/services/membership/test/neighbours.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { NeighbourChoice, RING_COUNT } from '../common/neighbours.ts'
+import { NeighbourSelector, RING_COUNT } from '../common/neighbours.ts'
 
 const SEED = 20261202
 const test = suite('neighbours')
@@ -10,12 +10,12 @@
   return Array.from({ length: count }, (_, index) => `10.${index % 5}.0.${index}:8000`)
 }
 
-function chooseAll (addresses: readonly string[]): ReadonlyMap<string, readonly string[]> {
-  return new Map(addresses.map(own => [own, new NeighbourChoice(own).choose(addresses.filter(other => other !== own))]))
+function chooseAllNeighbours (addresses: readonly string[]): ReadonlyMap<string, readonly string[]> {
+  return new Map(addresses.map(own => [own, new NeighbourSelector(own).choose(addresses.filter(other => other !== own))]))
 }
 
-/** Members that can be reached over links in either direction. */
-function countReached (links: ReadonlyMap<string, readonly string[]>, members: readonly string[]): number {
+/** Counts the members that can be reached from the first one over links in either direction. */
+function countReachable (links: ReadonlyMap<string, readonly string[]>, members: readonly string[]): number {
   const both = new Map(members.map(member => [member, new Set<string>()]))
   for (const [from, neighbours] of links) {
     for (const to of neighbours) {
@@ -29,14 +29,14 @@
   return reached.size
 }
 
-test('a small fleet is linked all to all', () => {
+test('all members of a small fleet are linked to each other', () => {
   const addresses = createAddresses(2 * RING_COUNT + 1)
-  for (const neighbours of chooseAll(addresses).values()) assert.is(neighbours.length, addresses.length - 1)
+  for (const neighbours of chooseAllNeighbours(addresses).values()) assert.is(neighbours.length, addresses.length - 1)
 })
 
-test('links do not grow with the fleet, and each member is probed by about as many as it probes', () => {
+test('the number of links per member does not grow with the fleet, and each member is probed by at least two', () => {
   for (const count of [30, 195, 1000]) {
-    const links = chooseAll(createAddresses(count))
+    const links = chooseAllNeighbours(createAddresses(count))
     const probedBy = new Map<string, number>()
     for (const neighbours of links.values()) {
       assert.ok(neighbours.length <= RING_COUNT)
@@ -46,19 +46,19 @@
   }
 })
 
-test('the members that are left stay linked when any hall is lost', () => {
+test('the remaining members stay connected when any hall is lost', () => {
   fc.assert(fc.property(fc.integer({ min: 20, max: 300 }), fc.integer({ min: 0, max: 4 }), (count, hall) => {
     const addresses = createAddresses(count)
     const left = addresses.filter(address => !address.startsWith(`10.${hall}.`))
-    assert.is(countReached(chooseAll(addresses), left), left.length)
+    assert.is(countReachable(chooseAllNeighbours(addresses), left), left.length)
   }), { seed: SEED, numRuns: 30 })
 })
 
-test('the loss of a member changes the links of those before it only', () => {
+test('the loss of a member changes only the links of its predecessors', () => {
   const addresses = createAddresses(100)
   const [lost = ''] = addresses
-  const before = chooseAll(addresses)
-  const after = chooseAll(addresses.slice(1))
+  const before = chooseAllNeighbours(addresses)
+  const after = chooseAllNeighbours(addresses.slice(1))
   for (const [address, neighbours] of after) {
     if (!before.get(address)?.includes(lost)) assert.equal(neighbours, before.get(address))
   }
--- a/src/services/membership/test/probeTimeout.test.ts
+++ b/src/services/membership/test/probeTimeout.test.ts
@@ -1,14 +1,14 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { computeProbeTimeout } from '../common/probeTimeout.ts'
+import { computeProbeTimeoutMs } from '../common/probeTimeout.ts'
 
 const test = suite('probeTimeout')
 
-test('the weakest host sets the time, within bounds, and unknown strengths set none', () => {
-  assert.is(computeProbeTimeout([]), 400)
-  assert.is(computeProbeTimeout([0, 67, 135]), 400)
-  assert.is(Math.round(computeProbeTimeout([67, 32])), 838)
-  assert.is(computeProbeTimeout([1]), 1200)
+test('the weakest host determines the timeout, within bounds, and unknown weights are ignored', () => {
+  assert.is(computeProbeTimeoutMs([]), 400)
+  assert.is(computeProbeTimeoutMs([0, 67, 135]), 400)
+  assert.is(Math.round(computeProbeTimeoutMs([67, 32])), 838)
+  assert.is(computeProbeTimeoutMs([1]), 1200)
 })
 
 test.run()
--- a/src/services/membership/test/silentLinks.test.ts
+++ b/src/services/membership/test/silentLinks.test.ts
@@ -1,10 +1,10 @@
 /**
- * Symptom: 9 s after all open connections between 86 nodes had gone silent, news of upstreams that leave had reached no
- * node through a peer, and nodes took each other for dead (252 lines member_changed on two nodes in 24 s, where nobody
- * had died). Each then planned alone.
+ * Guards against stalled links that stay in use. 9 s after all open connections between 86 nodes had stalled, no node had
+ * received leaving facts of upstreams from a peer, and nodes considered each other dead (252 log lines member_changed on
+ * two nodes within 24 s although no node had failed). Each node then planned alone.
  *
- * Cause: a probe that got no answer made the member suspect, but the link that it had gone over was kept and used again
- * for everything, the probes of the helpers included.
+ * An unanswered probe made the member suspect, but its link was kept and used for all further messages, including the
+ * indirect probes of other members.
  */
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -19,9 +19,9 @@
 const test = suite('silentLinks')
 
 const MEMBER_COUNT = 4
-const MAX_DEAF_MS = 2600
+const MAX_STALL_MS = 2600
 
-/** Members that reach each other through relays only, each linked to all others. */
+/** Runs a test with members that are connected through relays only, each linked to all others. */
 async function runWith (run: (members: readonly FleetMember[], relays: readonly FaultRelay[], events: readonly string[]) => Promise<void>): Promise<void> {
   const events: string[] = []
   const relays = Array.from({ length: MEMBER_COUNT }, () => new FaultRelay())
@@ -36,19 +36,19 @@
   try {
     await Promise.all(members.map((member, index) => member.listen({ host: '127.0.0.1', port: targets[index] ?? 0 })))
     await Promise.all(members.map(member => member.join(Promise.resolve(true))))
-    assert.ok(await waitUntil(() => members.every(member => member.gossip.links.length === MEMBER_COUNT - 1), MAX_DEAF_MS))
+    assert.ok(await waitUntil(() => members.every(member => member.gossip.links.length === MEMBER_COUNT - 1), MAX_STALL_MS))
     await run(members, relays, events)
   } finally {
     for (const part of [...members, ...relays]) part.dispose()
   }
 }
 
-test('links that went silent are replaced: news gets through, and nobody that lives is taken for dead', () => runWith(async (members, relays, events) => {
+test('stalled links are replaced: facts reach all members, and no live member is considered dead', () => runWith(async (members, relays, events) => {
   for (const relay of relays) relay.stopForwarding()
   members[0]?.facts.merge({ subject: formatLeavingSubject('u'), incarnation: 1, counter: 1, value: { kind: 'leaving', upstream: 'u', signal: 's' }, ageMs: 0 })
-  const hasHeard = (member: FleetMember) => member.facts.get(formatLeavingSubject('u')) !== undefined
-  assert.ok(await waitUntil(() => members.every(hasHeard), MAX_DEAF_MS), 'a member did not hear the news')
-  assert.not(await waitUntil(() => members.some(member => member.membership.listLive().length < MEMBER_COUNT), MAX_DEAF_MS))
+  const hasReceived = (member: FleetMember) => member.facts.get(formatLeavingSubject('u')) !== undefined
+  assert.ok(await waitUntil(() => members.every(hasReceived), MAX_STALL_MS), 'a member did not receive the fact')
+  assert.not(await waitUntil(() => members.some(member => member.membership.listLive().length < MEMBER_COUNT), MAX_STALL_MS))
   assert.not(events.some(event => event.includes('state=dead')))
 }))
 
