--- a/src/services/admission/common/admissionPolicy.ts
+++ b/src/services/admission/common/admissionPolicy.ts
@@ -1,17 +1,18 @@
 /**
- * Whether a request is taken in at all. It is decided before anything runs, so a refusal here is always `notRun`.
+ * Decides whether a request is admitted. The decision is made before any stage runs, so the outcome of a refused request
+ * is always `notRun`.
  */
 import { Left, Right } from 'purify-ts'
 import type { Either } from 'purify-ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 import type { CommittedWork } from './committedWork.ts'
 
-/** A stage of the request as admission sees it. */
+/** Expected cost and available concurrency of one stage of a request. */
 export interface StageForecast {
   readonly role: string
-  /** What the stage usually takes, in milliseconds. */
+  /** Mean duration of calls of this stage, in milliseconds. */
   readonly usualMs: number
-  /** Calls that this gate may have open for the role. */
+  /** Number of calls that this gate may have open for the role. */
   readonly slots: number
 }
 
@@ -23,14 +24,14 @@
   readonly stages: readonly StageForecast[]
 }
 
-/** Why a request was refused, and when it makes sense to ask again. */
+/** Why a request was refused, and after what time a retry may succeed. */
 export interface AdmissionRefusal {
   readonly error: PepperwoodError
   readonly retryAfterMs: number
 }
 
 export interface AdmissionGrant {
-  /** When the request is expected to be done, in milliseconds from now. */
+  /** Expected time until the request is finished, in milliseconds from now. */
   readonly predictedMs: number
 }
 
@@ -38,7 +39,7 @@
   abstract decide (request: AdmissionRequest, committed: CommittedWork): Either<AdmissionRefusal, AdmissionGrant>
 }
 
-/** Baseline: everything is taken in. */
+/** Baseline: admits every request. */
 export class AdmitAll extends AdmissionPolicy {
   decide (): Either<AdmissionRefusal, AdmissionGrant> {
     return Right({ predictedMs: 0 })
@@ -46,14 +47,14 @@
 }
 
 export interface PredictedFinishOptions {
-  /** The part of the time left that the prediction may fill: lower spends less on answers that come too late. */
+  /** Fraction of the time left that the predicted duration may use. Lower values waste less work on results that miss the deadline. */
   readonly fillFactor?: number
 }
 
 const MIN_RETRY_AFTER_MS = 50
 const MAX_RETRY_AFTER_MS = 10_000
 
-/** Takes a request in when it is expected to finish in time behind the work that goes before it. */
+/** Admits a request if it is expected to meet its deadline after the work that is served before it. */
 export class PredictedFinishAdmission extends AdmissionPolicy {
   private readonly _fillFactor: number
 
@@ -64,7 +65,7 @@
 
   decide (request: AdmissionRequest, committed: CommittedWork): Either<AdmissionRefusal, AdmissionGrant> {
     const runMs = request.stages.reduce((sum, stage) => sum + stage.usualMs, 0)
-    const waitMs = Math.max(0, ...request.stages.map(stage => predictWait(request, stage, committed)))
+    const waitMs = Math.max(0, ...request.stages.map(stage => predictWaitMs(request, stage, committed)))
     const predictedMs = runMs + waitMs
     const allowedMs = request.timeLeftMs * this._fillFactor
     if (predictedMs <= allowedMs) return Right({ predictedMs })
@@ -74,19 +75,19 @@
       place: 'timeLeftMs',
       value: String(Math.round(request.timeLeftMs))
     })
-    const overMs = predictedMs - allowedMs
-    return Left({ error, retryAfterMs: Math.round(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, overMs))) })
+    const excessMs = predictedMs - allowedMs
+    return Left({ error, retryAfterMs: Math.round(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, excessMs))) })
   }
 }
 
 /**
- * The wait at the stage that is shortest of slots decides: what waits there keeps the other stages idle, so their
- * waits do not add up.
+ * Predicts the wait for one stage, in milliseconds. The caller uses the longest of these waits and not their sum, because
+ * requests that queue at the bottleneck stage leave the other stages idle.
  */
-function predictWait (request: AdmissionRequest, stage: StageForecast, committed: CommittedWork): number {
+function predictWaitMs (request: AdmissionRequest, stage: StageForecast, committed: CommittedWork): number {
   const ahead = committed.countAhead(stage.role, request.customer, request.customerWeight, request.priority)
-  // Higher priority goes first also when it comes later, so its share of the slots is not this request's to count on.
-  const slots = Math.max(1, stage.slots - committed.countOfferedAbove(stage.role, request.priority))
+  // Requests of higher priority that arrive later are still served first, so the slots that they use on average are not available.
+  const slots = Math.max(1, stage.slots - committed.estimateHigherPriorityCalls(stage.role, request.priority))
   const waiting = Math.max(0, ahead + 1 - slots)
   return waiting / slots * stage.usualMs
 }
--- a/src/services/admission/common/committedWork.ts
+++ b/src/services/admission/common/committedWork.ts
@@ -2,8 +2,8 @@
 import { DecayingCount } from '../../../base/common/decayingCount.ts'
 
 /**
- * Work that was taken in and has not passed a role yet, by customer. Work still in an earlier stage counts,
- * since it will ask for the role before a request that comes in now.
+ * Number of admitted requests of one customer and priority that have yet to finish a role. Requests that are still in an
+ * earlier stage count, since they will need the role before a request that arrives now.
  */
 interface CustomerWork {
   readonly customer: string
@@ -12,78 +12,80 @@
   readonly count: number
 }
 
-/** What is taken in for a role. */
+/** The work that an admitted request brings to one role. */
 export interface WorkItem {
   readonly role: string
   readonly customer: string
   readonly weight: number
   readonly priority: number
-  /** What its call usually takes, in milliseconds. */
+  /** Mean duration of its call, in milliseconds. */
   readonly usualMs: number
 }
 
-/** How fast the offered load forgets. */
-const LOAD_MEMORY_MS = 2000
+/** Time constant of the exponential decay of the offered load. */
+const LOAD_TIME_CONSTANT_MS = 2000
 
 export class CommittedWork {
-  private readonly _roles = new Map<string, Map<string, CustomerWork>>()
-  private readonly _offered = new Map<string, Map<number, DecayingCount>>()
+  private readonly _workByRole = new Map<string, Map<string, CustomerWork>>()
+  /** Milliseconds of calls admitted recently, by role and priority. */
+  private readonly _offeredLoads = new Map<string, Map<number, DecayingCount>>()
 
   constructor (private readonly _clock: IClock) {}
 
   add (item: WorkItem): void {
     const { role, customer, weight, priority } = item
-    this._addOffered(item)
-    const works = this._roles.get(role) ?? new Map<string, CustomerWork>()
-    this._roles.set(role, works)
+    this._addOfferedLoad(item)
+    const entries = this._workByRole.get(role) ?? new Map<string, CustomerWork>()
+    this._workByRole.set(role, entries)
     const key = formatKey(customer, priority)
-    works.set(key, { customer, priority, weight, count: (works.get(key)?.count ?? 0) + 1 })
+    entries.set(key, { customer, priority, weight, count: (entries.get(key)?.count ?? 0) + 1 })
   }
 
   remove (role: string, customer: string, priority: number): void {
-    const works = this._roles.get(role)
+    const entries = this._workByRole.get(role)
     const key = formatKey(customer, priority)
-    const work = works?.get(key)
-    if (works === undefined || work === undefined) return
-    if (work.count <= 1) works.delete(key)
-    else works.set(key, { ...work, count: work.count - 1 })
+    const work = entries?.get(key)
+    if (entries === undefined || work === undefined) return
+    if (work.count <= 1) entries.delete(key)
+    else entries.set(key, { ...work, count: work.count - 1 })
   }
 
   /**
-   * How much goes before one more request: all work of higher priority, and of its own priority what the fair queue
-   * serves first, which is all of its own customer and of each other customer what its weight earns meanwhile.
+   * Estimates how many calls are served before the call of a new request: all calls of higher priority and, within its own
+   * priority, those that the fair queue serves first. These are all calls of the same customer and, from every other customer,
+   * as many as its weight entitles it to by the time the new call is served.
    */
   countAhead (role: string, customer: string, weight: number, priority: number): number {
-    const works = this._roles.get(role)
-    if (works === undefined) return 0
-    const own = works.get(formatKey(customer, priority))?.count ?? 0
-    let ahead = own
-    for (const work of works.values()) {
-      if (work.priority > priority) ahead += work.count
-      else if (work.priority === priority && work.customer !== customer) ahead += Math.min(work.count, (own + 1) * work.weight / weight)
+    const entries = this._workByRole.get(role)
+    if (entries === undefined) return 0
+    const ownCount = entries.get(formatKey(customer, priority))?.count ?? 0
+    let aheadCount = ownCount
+    for (const work of entries.values()) {
+      if (work.priority > priority) aheadCount += work.count
+      else if (work.priority === priority && work.customer !== customer) aheadCount += Math.min(work.count, (ownCount + 1) * work.weight / weight)
     }
-    return ahead
+    return aheadCount
   }
 
-  /** Calls of higher priority that are open on average, judged by what was taken in lately. */
-  countOfferedAbove (role: string, priority: number): number {
-    let ms = 0
-    for (const [other, load] of this._offered.get(role) ?? []) if (other > priority) ms += load.value
-    return ms / LOAD_MEMORY_MS
+  /** Average number of open calls of higher priority, estimated from the load that was admitted recently. */
+  estimateHigherPriorityCalls (role: string, priority: number): number {
+    let loadMs = 0
+    for (const [otherPriority, load] of this._offeredLoads.get(role) ?? []) if (otherPriority > priority) loadMs += load.value
+    return loadMs / LOAD_TIME_CONSTANT_MS
   }
 
-  private _addOffered (item: WorkItem): void {
-    const loads = this._offered.get(item.role) ?? new Map<number, DecayingCount>()
-    this._offered.set(item.role, loads)
-    const load = loads.get(item.priority) ?? new DecayingCount(this._clock, LOAD_MEMORY_MS)
-    loads.set(item.priority, load)
+  private _addOfferedLoad (item: WorkItem): void {
+    const loadByPriority = this._offeredLoads.get(item.role) ?? new Map<number, DecayingCount>()
+    this._offeredLoads.set(item.role, loadByPriority)
+    const load = loadByPriority.get(item.priority) ?? new DecayingCount(this._clock, LOAD_TIME_CONSTANT_MS)
+    loadByPriority.set(item.priority, load)
     load.add(item.usualMs)
   }
 
-  /** All committed work of a role. */
+  /** Number of admitted requests that have yet to finish the role. */
   countRole (role: string): number {
     let count = 0
-    for (const work of this._roles.get(role)?.values() ?? []) count += work.count
+    for (const work of this._workByRole.get(role)?.values() ?? []) count += work.count
     return count
   }
 }
--- a/src/services/admission/test/admissionPolicy.test.ts
+++ b/src/services/admission/test/admissionPolicy.test.ts
@@ -19,25 +19,25 @@
   return policy.decide({ ...request, ...options }, committed).swap().map(refusal => refusal.error.resultName).orDefault('internal')
 }
 
-test('an idle fleet takes what fits into the time left, and refuses what does not', () => {
+test('an idle fleet admits a request that fits into the time left and refuses one that does not', () => {
   assert.is(policy.decide(request, createWork({})).unsafeCoerce().predictedMs, 500)
   assert.is(decide({ timeLeftMs: 499 }, createWork({})), 'deadlineTooShort')
 })
 
-test('work taken in before counts, and the refusal says when to come back', () => {
+test('previously admitted work counts, and the refusal has a retry delay', () => {
   assert.ok(policy.decide(request, createWork({ small: 3 })).isRight())
   const refusal = policy.decide(request, createWork({ small: 6 })).swap().unsafeCoerce()
   assert.is(refusal.error.resultName, 'overloaded')
   assert.ok(refusal.retryAfterMs > 0)
 })
 
-test('the flood of a large customer is refused while a small one is taken in', () => {
+test('a customer with a large backlog is refused while a customer without one is admitted', () => {
   const committed = createWork({ large: 40 })
   assert.ok(policy.decide(request, committed).isRight())
   assert.is(decide({ customer: 'large' }, committed), 'overloaded')
 })
 
-test('work of higher priority takes its part of the slots, until it fades', () => {
+test('recent load of higher priority reduces the available slots until it decays', () => {
   const clock = new VirtualClock()
   const committed = new CommittedWork(clock)
   for (let index = 0; index < 5; index++) committed.add({ role: 'generate', customer: 'other', weight: 1, priority: 2, usualMs: 400 })
@@ -49,7 +49,7 @@
   assert.ok(policy.decide(request, committed).isRight())
 })
 
-test('work is forgotten once it has passed the role', () => {
+test('work that has finished the role is no longer counted', () => {
   const committed = createWork({ small: 6 })
   for (let index = 0; index < 6; index++) committed.remove('generate', 'small', 1)
   committed.remove('generate', 'small', 1)
@@ -57,13 +57,13 @@
   assert.is(committed.countAhead('generate', 'small', 1, 1), 0)
 })
 
-test('work of lower priority does not go ahead, and all of higher priority does', () => {
+test('work of lower priority is not counted as ahead, and all work of higher priority is', () => {
   const committed = createWork({ large: 40 })
   assert.is(committed.countAhead('generate', 'small', 1, 2), 0)
   assert.is(committed.countAhead('generate', 'small', 1, 0), 40)
 })
 
-test('ahead of a customer is its own work and what the others earn meanwhile', () => {
+test('work ahead of a customer is its own work and the weighted share of the other customers', () => {
   const committed = createWork({ small: 2, large: 40, other: 1 })
   assert.is(committed.countAhead('generate', 'small', 1, 1), 2 + 3 + 1)
   assert.is(committed.countAhead('generate', 'new', 1, 1), 1 + 1 + 1)
--- a/src/services/inspect/common/decisionLog.ts
+++ b/src/services/inspect/common/decisionLog.ts
@@ -1,5 +1,5 @@
 /**
- * The last decisions of a process: what was chosen, why, on what inputs and how long ago.
+ * The most recent decisions of a process: the choice, its reason, its inputs and its time.
  */
 import { RingBuffer } from '../../../base/common/ringBuffer.ts'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -12,29 +12,29 @@
   readonly choice: string
   readonly reason: string
   readonly inputs: string
-  /** On the process's clock. */
+  /** On the process's clock, in milliseconds. */
   readonly at: number
 }
 
 const DEFAULT_CAPACITY = 20_000
 
 export class DecisionLog {
-  private readonly _ring: RingBuffer<DecisionRecord>
+  private readonly _records: RingBuffer<DecisionRecord>
 
   constructor (private readonly _clock: IClock, capacity = DEFAULT_CAPACITY) {
-    this._ring = new RingBuffer(capacity)
+    this._records = new RingBuffer(capacity)
   }
 
   record (decision: Omit<DecisionRecord, 'at'>): void {
-    this._ring.add({ ...decision, at: this._clock.now() })
+    this._records.add({ ...decision, at: this._clock.now() })
   }
 
-  /** The decisions about a subject, oldest first. */
+  /** Returns the decisions about a subject, oldest first. */
   find (subject: string): readonly DecisionRecord[] {
-    return this._ring.list().filter(record => record.subject === subject)
+    return this._records.list().filter(record => record.subject === subject)
   }
 
   listLast (count: number): readonly DecisionRecord[] {
-    return this._ring.list().slice(-count)
+    return this._records.list().slice(-count)
   }
 }
--- a/src/services/inspect/node/operatorHandlers.ts
+++ b/src/services/inspect/node/operatorHandlers.ts
@@ -1,5 +1,5 @@
 /**
- * The OperatorService of a process, for gates and stewards alike.
+ * Handlers of the OperatorService RPC interface, used by gates and stewards.
  */
 import { create } from '@bufbuild/protobuf'
 import type { ServiceImpl } from '@connectrpc/connect'
@@ -19,8 +19,8 @@
   readonly log: ILogService
 }
 
-/** A watcher that reads slower than events come misses the newest. */
-const MAX_WAITING_EVENTS = 1000
+/** A watcher that reads more slowly than events arrive misses new events while this many are queued. */
+const MAX_QUEUED_EVENTS = 1000
 
 function createProblem (error: PepperwoodError): Problem {
   return create(ProblemSchema, { code: error.code, name: error.resultName, path: error.place, value: error.value, message: error.message })
@@ -43,7 +43,7 @@
     explain (request) {
       const { decisions, costs } = inspector.explain(request.requestId)
       if (decisions.length === 0) {
-        const error = new PepperwoodError({ name: 'requestUnknown', message: 'nothing is recorded here about the request', place: 'requestId', value: request.requestId })
+        const error = new PepperwoodError({ name: 'requestUnknown', message: 'this process has no recorded decisions about the request', place: 'requestId', value: request.requestId })
         return { problem: createProblem(error) }
       }
       const now = clock.now()
@@ -59,16 +59,16 @@
 }
 
 async function * followEvents (log: ILogService, signal: AbortSignal): AsyncGenerator<Pick<ProcessEvent, 'name' | 'line'>> {
-  const waiting: LogEvent[] = []
+  const queued: LogEvent[] = []
   let wake = () => {}
   const subscription = log.onDidLog(event => {
-    if (waiting.length < MAX_WAITING_EVENTS) waiting.push(event)
+    if (queued.length < MAX_QUEUED_EVENTS) queued.push(event)
     wake()
   })
   signal.addEventListener('abort', () => wake(), { once: true })
   try {
     while (!signal.aborted) {
-      const event = waiting.shift()
+      const event = queued.shift()
       if (event !== undefined) yield event
       else await new Promise<void>(resolve => { wake = resolve })
     }
--- a/src/services/locate/common/hallRegions.ts
+++ b/src/services/locate/common/hallRegions.ts
@@ -1,29 +1,29 @@
 /**
- * The region of each hall, and what home regions of routes and customers allow.
+ * Maps halls to regions, and home regions of routes and customers to the halls that they allow.
  */
 
 export class HallRegions {
-  private readonly _byHall: ReadonlyMap<string, string>
+  private readonly _regionsByHall: ReadonlyMap<string, string>
 
   constructor (regions: Readonly<Record<string, string>> = {}) {
-    this._byHall = new Map(Object.entries(regions))
+    this._regionsByHall = new Map(Object.entries(regions))
   }
 
-  /** Undefined for a hall that the settings do not name. */
+  /** Returns undefined for a hall that is not in the settings. */
   findRegion (hall: string): string | undefined {
-    return this._byHall.get(hall)
+    return this._regionsByHall.get(hall)
   }
 
-  /** The halls of the regions that are home by every list; undefined where none of them names any. */
-  listHomeHalls (...homes: readonly (readonly string[])[]): readonly string[] | undefined {
-    const binding = homes.filter(regions => regions.length > 0)
-    if (binding.length === 0) return undefined
-    return [...this._byHall].filter(([, region]) => binding.every(regions => regions.includes(region))).map(([hall]) => hall)
+  /** Returns the halls whose region is in every non-empty list, or undefined (no restriction) if all lists are empty. */
+  listHomeHalls (...homeRegionLists: readonly (readonly string[])[]): readonly string[] | undefined {
+    const restrictions = homeRegionLists.filter(regions => regions.length > 0)
+    if (restrictions.length === 0) return undefined
+    return [...this._regionsByHall].filter(([, region]) => restrictions.every(regions => regions.includes(region))).map(([hall]) => hall)
   }
 
-  /** Regions among these that no hall lies in. */
+  /** Returns those of the given regions that have no hall. */
   listUnknown (regions: readonly string[]): readonly string[] {
-    const known = new Set(this._byHall.values())
-    return regions.filter(region => !known.has(region))
+    const knownRegions = new Set(this._regionsByHall.values())
+    return regions.filter(region => !knownRegions.has(region))
   }
 }
--- a/src/services/locate/common/locatePolicy.ts
+++ b/src/services/locate/common/locatePolicy.ts
@@ -1,9 +1,9 @@
 /**
- * Which gates a caller is told to use, best first, and for how long it may keep the answer.
+ * Ranks the gates that a caller should use, best first, and sets for how long it may cache the answer.
  */
 import { hashText } from '../../../base/common/rendezvous.ts'
 
-/** A gate as the answering gate knows it. */
+/** State of a gate as last received by the gate that answers. */
 export interface GateView {
   readonly address: string
   readonly hall: string
@@ -17,7 +17,7 @@
 export interface LocateInputs {
   readonly customer: string
   readonly gates: readonly GateView[]
-  /** Another one for each question and each answering gate, so that the callers of one customer are spread. */
+  /** Different for each query and each answering gate, so that the callers of one customer are distributed over the gates. */
   readonly salt: string
 }
 
@@ -27,26 +27,26 @@
   readonly keepMs: number
 }
 
-/** A gate that was not heard of for so long is not recommended. */
-const MAX_AGE_MS = 4000
-/** While gates come and go, or some have much more to do than others, callers should ask again soon. */
+/** A gate whose last report is older than this is not recommended. */
+const MAX_REPORT_AGE_MS = 4000
+/** Used while gates join or leave or the load is uneven, so that callers query again soon. */
 const SHORT_KEEP_MS = 2000
 const LONG_KEEP_MS = 10_000
-/** Answers given at one time should not all run out at one time. */
-const KEEP_SPREAD = 0.5
+/** Largest fraction by which the cache time is shortened at random, so that answers given together do not all expire together. */
+const KEEP_JITTER = 0.5
 const MAX_GATES = 4
-/** How much more than the mean the busiest gate may have before callers are asked to come back soon. */
+/** Highest load of the busiest gate, relative to the mean, at which callers may cache the answer for the long time. */
 const MAX_IMBALANCE = 1.3
 
 /**
- * Callers keep answers, so load is spread when the answer is given: a gate's chance falls with what it has in
- * progress and what it took in lately.
+ * Ranks usable gates at random, weighted by load. Callers cache the answer, so the load is balanced when the answer is
+ * given: a gate is less likely to rank high the more requests it has in flight and has accepted recently.
  */
 export function rankGates (inputs: LocateInputs): readonly LocatedGate[] {
   const usable = inputs.gates.filter(isUsableGate)
-  const isSteady = usable.length === inputs.gates.filter(gate => gate.ageMs <= 2 * MAX_AGE_MS).length && isBalanced(usable)
-  const spread = 1 - KEEP_SPREAD * drawFrom(`keep/${inputs.customer}/${inputs.salt}`)
-  const keepMs = Math.round((isSteady ? LONG_KEEP_MS : SHORT_KEEP_MS) * spread)
+  const isStable = usable.length === inputs.gates.filter(gate => gate.ageMs <= 2 * MAX_REPORT_AGE_MS).length && isBalanced(usable)
+  const jitterFactor = 1 - KEEP_JITTER * deriveFraction(`keep/${inputs.customer}/${inputs.salt}`)
+  const keepMs = Math.round((isStable ? LONG_KEEP_MS : SHORT_KEEP_MS) * jitterFactor)
   return usable
     .map(gate => ({ gate, score: scoreGate(gate, inputs) }))
     .sort((a, b) => a.score - b.score)
@@ -54,9 +54,9 @@
     .map(({ gate }) => ({ address: gate.address, hall: gate.hall, keepMs }))
 }
 
-/** Whether callers may be sent to a gate. */
+/** Whether callers may be directed to the gate. */
 export function isUsableGate (gate: GateView): boolean {
-  return gate.ready && !gate.draining && gate.ageMs <= MAX_AGE_MS
+  return gate.ready && !gate.draining && gate.ageMs <= MAX_REPORT_AGE_MS
 }
 
 function getLoad (gate: GateView): number {
@@ -69,12 +69,12 @@
   return Math.max(0, ...loads) <= mean * MAX_IMBALANCE
 }
 
-/** Lower is better: load times a draw between 0.5 and 1.5. */
+/** Lower is better: the load times a pseudo-random factor between 0.5 and 1.5. */
 function scoreGate (gate: GateView, inputs: LocateInputs): number {
-  return getLoad(gate) * (0.5 + drawFrom(`${inputs.customer}/${gate.address}/${inputs.salt}`))
+  return getLoad(gate) * (0.5 + deriveFraction(`${inputs.customer}/${gate.address}/${inputs.salt}`))
 }
 
-/** From 0 to 1, the same for the same text. */
-function drawFrom (text: string): number {
+/** Pseudo-random number from 0 to 1, the same for the same text. */
+function deriveFraction (text: string): number {
   return hashText(text) / 2 ** 32
 }
--- a/src/services/locate/common/nodeDirectory.ts
+++ b/src/services/locate/common/nodeDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Which nodes callers are told to use. Callers choose among them by chance, so the list itself spreads the load.
+ * Lists the nodes that callers should use. Callers choose from the list at random, which balances the load.
  */
 import { parseAddress } from '../../../base/common/address.ts'
 import type { Member } from '../../membership/common/membershipTable.ts'
@@ -8,17 +8,17 @@
 export interface NodeDirectoryInputs {
   readonly gates: readonly GateView[]
   readonly members: readonly Member[]
-  /** Where the caller is. */
+  /** Hall of the caller. */
   readonly hall: string
-  /** The answering node's own address, if it takes requests. */
+  /** Address of the answering node; undefined if it does not accept requests. */
   readonly own: string | undefined
   readonly ownHall?: string
   readonly maxKeepMs: number
-  /** Whether callers should be led to nodes in a hall; left out where all halls will do. */
+  /** Whether callers should be directed to nodes in the hall; omitted if all halls are allowed. */
   readonly isHome?: (hall: string) => boolean
 }
 
-/** Where a caller is, and which host's routes it wants. */
+/** Location of a caller, and the host whose routes it uses. */
 export interface CallerPlace {
   readonly host: string
   readonly hall: string
@@ -30,20 +30,23 @@
   readonly keepMs: number
 }
 
-/** Callers that keep an answer longer meet more nodes that have gone meanwhile; asking costs little. */
+/** Kept short because a query is cheap, and a longer cached answer would list more nodes that have left since. */
 const KEEP_MS = 2000
 const MAX_ADDRESSES = 64
 
-/** Nodes that said last that they take requests, and that answer probes; the answering node's own view of itself goes first. */
+/**
+ * Lists the nodes that last reported that they accept requests and that answer probes. The answering node is listed first, from
+ * its own state instead of a report.
+ */
 export function listNodeAddresses (inputs: NodeDirectoryInputs): AddressAnswer {
   const { gates, members, own, ownHall = '', maxKeepMs, isHome = () => true } = inputs
-  const alive = new Set(members.filter(member => member.state === 'alive').map(member => getHost(member.address)))
+  const aliveHosts = new Set(members.filter(member => member.state === 'alive').map(member => getHost(member.address)))
   const usable = gates
-    .filter(gate => gate.address !== own && gate.ready && !gate.draining && alive.has(getHost(gate.address)))
-  const named = [...own === undefined ? [] : [{ address: own, hall: ownHall }], ...usable]
-  const homely = named.filter(({ hall }) => isHome(hall))
-  // A caller that can be served nowhere near is still better off than one without an address.
-  const addresses = (homely.length > 0 ? homely : named).map(({ address }) => address)
+    .filter(gate => gate.address !== own && gate.ready && !gate.draining && aliveHosts.has(getHost(gate.address)))
+  const candidates = [...own === undefined ? [] : [{ address: own, hall: ownHall }], ...usable]
+  const homeNodes = candidates.filter(({ hall }) => isHome(hall))
+  // If no home hall has a usable node, nodes in other halls are better than an empty answer.
+  const addresses = (homeNodes.length > 0 ? homeNodes : candidates).map(({ address }) => address)
   return { addresses: addresses.slice(0, MAX_ADDRESSES), keepMs: Math.min(KEEP_MS, maxKeepMs) }
 }
 
--- a/src/services/locate/test/locatePolicy.test.ts
+++ b/src/services/locate/test/locatePolicy.test.ts
@@ -9,7 +9,7 @@
   return Array.from({ length: count }, (_, index) => ({ address: `g${index}`, hall: 'h', inFlight: 0, recentRequests: 0, draining: false, ready: true, ageMs: 0 }))
 }
 
-test('draining, unready and silent gates are not named', () => {
+test('gates that are draining, not ready or have an outdated report are not listed', () => {
   const [a, b, c, d] = createGates(4)
   if (a === undefined || b === undefined || c === undefined || d === undefined) throw new Error('no gates')
   const ranked = rankGates({ customer: 'c', salt: '1', gates: [{ ...a, draining: true }, { ...b, ready: false }, { ...c, ageMs: 60_000 }, d] })
@@ -17,7 +17,7 @@
   assert.ok((ranked[0]?.keepMs ?? 0) < (rankGates({ customer: 'c', salt: '1', gates: createGates(4) })[0]?.keepMs ?? 0))
 })
 
-test('kept answers of few large customers are spread: the busiest gate has at most 1.3 times the mean', () => {
+test('cached answers of a few large customers are balanced: the busiest gate has at most 1.3 times the mean', () => {
   const recent = new Map(createGates(9).map(gate => [gate.address, 0]))
   for (let question = 0; question < 90; question++) {
     const gates = createGates(9).map(gate => ({ ...gate, recentRequests: recent.get(gate.address) ?? 0 }))
@@ -27,12 +27,12 @@
   assert.ok(Math.max(...recent.values()) <= 13, [...recent.values()].join())
 })
 
-test('gates that know nothing yet and are asked at once do not all name the same', () => {
+test('gates without load information that are queried at the same time do not all rank the same gate first', () => {
   const first = Array.from({ length: 9 }, (_, gate) => rankGates({ customer: 'c', salt: `g${gate}/0`, gates: createGates(9) })[0]?.address)
   assert.ok(new Set(first).size >= 4, first.join())
 })
 
-test('while one gate has much more to do than the others, callers are asked to come back soon', () => {
+test('while one gate has a much higher load than the others, callers may cache the answer only briefly', () => {
   const [a, ...rest] = createGates(4)
   if (a === undefined) throw new Error('no gates')
   const uneven = rankGates({ customer: 'c', salt: '1', gates: [{ ...a, recentRequests: 50 }, ...rest] })[0]
--- a/src/services/order/node/orderService.ts
+++ b/src/services/order/node/orderService.ts
@@ -1,5 +1,6 @@
 /**
- * Brings engines to what the configuration wants, one order at a time and never more loads at once in a hall than allowed.
+ * Orders engines to load the models that the configuration assigns to them: one order at a time per engine, and at most the
+ * configured number of concurrent loads per hall.
  */
 import { Disposable } from '../../../base/common/disposable.ts'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -23,19 +24,19 @@
   readonly configuration: IConfigurationService
   readonly decisions: DecisionLog
   readonly log: ILogService
-  /** The upstreams that this process orders now. */
+  /** Upstreams that this process currently manages. */
   readonly listOrdered: () => readonly Upstream[]
-  /** Whether this process hears most of the stewards it knows. */
+  /** Whether this process currently receives from a majority of the stewards it knows. */
   readonly hearsMajority: () => boolean
   readonly periodMs?: number
 }
 
-const MAX_LOAD_MS = 60_000
-const LOAD_CHECK_MS = 250
+const LOAD_TIMEOUT_MS = 60_000
+const LOAD_CHECK_PERIOD_MS = 250
 
 export class OrderService extends Disposable {
   private readonly _options: OrderServiceOptions
-  private readonly _ordering = new Set<string>()
+  private readonly _pendingUpstreams = new Set<string>()
 
   constructor (options: OrderServiceOptions) {
     super()
@@ -43,38 +44,41 @@
     this._register(startInterval(options.periodMs ?? 1000, () => this.reconcile()))
   }
 
-  /** Starts the orders that are due; those under way are left alone. */
+  /** Starts the orders that are due. Upstreams with an order in progress are skipped. */
   reconcile (): void {
     const current = this._options.configuration.current
     if (current === undefined || current.configuration.placements.length === 0) return
     const engines = current.configuration.upstreams.filter(upstream => upstream.kind === UpstreamKind.ENGINE)
     const views = engines.map(upstream => viewUpstream(upstream, this._options.facts))
-    const wanted = planModels(current.configuration.placements, views.map(view => ({ ...view.upstream, isLeaving: view.isLeaving })))
+    const plan = planModels(current.configuration.placements, views.map(view => ({ ...view.upstream, isLeaving: view.isLeaving })))
     for (const upstream of this._options.listOrdered()) {
-      const models = wanted.get(upstream.name)
-      if (models === undefined || this._ordering.has(upstream.name)) continue
-      const held = viewUpstream(upstream, this._options.facts).load?.models
-      if (held === undefined || isSameSet(held, models)) continue
-      if (this._countLoads(upstream.hall) >= Math.max(1, current.configuration.concurrentLoadsPerHall)) continue
-      void this._order(upstream, models, current)
+      const models = plan.get(upstream.name)
+      if (models === undefined || this._pendingUpstreams.has(upstream.name)) continue
+      const loadedModels = viewUpstream(upstream, this._options.facts).load?.models
+      if (loadedModels === undefined || isSameSet(loadedModels, models)) continue
+      if (this._countPendingLoads(upstream.hall) >= Math.max(1, current.configuration.concurrentLoadsPerHall)) continue
+      void this._processOrder(upstream, models, current)
     }
   }
 
-  private _countLoads (hall: string): number {
+  private _countPendingLoads (hall: string): number {
     const upstreams = this._options.configuration.current?.configuration.upstreams ?? []
-    return upstreams.filter(upstream => upstream.hall === hall && this._ordering.has(upstream.name)).length
+    return upstreams.filter(upstream => upstream.hall === hall && this._pendingUpstreams.has(upstream.name)).length
   }
 
-  private async _order (upstream: Upstream, models: readonly string[], current: AcceptedConfiguration): Promise<void> {
-    this._ordering.add(upstream.name)
+  private async _processOrder (upstream: Upstream, models: readonly string[], current: AcceptedConfiguration): Promise<void> {
+    this._pendingUpstreams.add(upstream.name)
     try {
       await this._sendOrder(upstream, models, current)
     } finally {
-      this._ordering.delete(upstream.name)
+      this._pendingUpstreams.delete(upstream.name)
     }
   }
 
-  /** The engine's state is read just before: it holds the last number, and for engines that check none it is all the care there is. */
+  /**
+   * Sends one order. Reads the engine's state immediately before, since the engine stores the last fencing number. For engines
+   * that check no fencing number, this read and the majority check are the only protection against an outdated order.
+   */
   private async _sendOrder (upstream: Upstream, models: readonly string[], current: AcceptedConfiguration): Promise<void> {
     const { adapter, facts, configuration, decisions, log } = this._options
     if (!upstream.checksFencing && !this._options.hearsMajority()) return
@@ -89,15 +93,15 @@
     const reason = result.swap().map(String).orDefault('')
     decisions.record({ subject: upstream.name, kind: 'order', choice, reason, inputs: `models=${models.join(',')} fencing=${fencing}` })
     log.info('order_sent', { upstream: upstream.name, models: models.join(','), fencing, result: choice })
-    if (result.isRight()) await this._waitUntilHeld(upstream, models)
+    if (result.isRight()) await this._waitUntilLoaded(upstream, models)
   }
 
-  /** The load counts against the hall's limit until the engine reports it done, or for as long as a load may take. */
-  private async _waitUntilHeld (upstream: Upstream, models: readonly string[]): Promise<void> {
-    for (let waitedMs = 0; waitedMs < MAX_LOAD_MS && !this._isDisposed; waitedMs += LOAD_CHECK_MS) {
-      const held = viewUpstream(upstream, this._options.facts).load?.models ?? []
-      if (isSameSet(held, models)) return
-      await waitFor(LOAD_CHECK_MS)
+  /** Waits until the engine reports the models or the load times out. Until then the load counts against the limit of its hall. */
+  private async _waitUntilLoaded (upstream: Upstream, models: readonly string[]): Promise<void> {
+    for (let waitedMs = 0; waitedMs < LOAD_TIMEOUT_MS && !this._isDisposed; waitedMs += LOAD_CHECK_PERIOD_MS) {
+      const loadedModels = viewUpstream(upstream, this._options.facts).load?.models ?? []
+      if (isSameSet(loadedModels, models)) return
+      await waitFor(LOAD_CHECK_PERIOD_MS)
     }
   }
 }
--- a/src/services/order/test/orderPlan.test.ts
+++ b/src/services/order/test/orderPlan.test.ts
@@ -13,7 +13,7 @@
   return create(ModelPlacementSchema, { role: 'generate', model, modelVersion: '2', replicas })
 }
 
-test('each model is held by as many engines as wanted, and every steward plans the same', () => {
+test('each model is placed on the configured number of engines, independent of the order of the engines', () => {
   const placements = [createPlacement('a', 4), createPlacement('b', 2)]
   const plan = planModels(placements, engines)
   const held = [...plan.values()].flat()
@@ -22,7 +22,7 @@
   assert.equal([...planModels(placements, [...engines].reverse())].sort(), [...plan].sort())
 })
 
-test('a leaving engine is ordered nothing, and only what it held moves', () => {
+test('a leaving engine gets no models, and only its models move', () => {
   const placements = [createPlacement('a', 3)]
   const before = planModels(placements, engines)
   const leaving = [...before].find(([, models]) => models.length > 0)?.[0]
@@ -31,11 +31,11 @@
   for (const [name, models] of before) if (name !== leaving && models.length > 0) assert.equal(after.get(name), models)
 })
 
-test('engines of roles without a placement are left alone', () => {
+test('engines of roles without a placement are not in the plan', () => {
   assert.is(planModels([], engines).size, 0)
 })
 
-test('fencing numbers grow with configuration and with each order, and stay exact', () => {
+test('fencing numbers increase with the configuration and with each order, and stay safe integers', () => {
   const number = fc.record({ epoch: fc.integer({ min: 1, max: MAX_EPOCH }), version: fc.integer({ min: 1, max: MAX_VERSION - 1 }) })
   fc.assert(fc.property(number, fc.integer({ min: 0, max: 100 }), (configuration, orders) => {
     let last = 0
--- a/src/services/order/test/orderService.test.ts
+++ b/src/services/order/test/orderService.test.ts
@@ -18,12 +18,12 @@
 
 const test = suite('orderService')
 
-/** An engine's own state; it loads at once when told to. */
+/** State of a fake engine, which loads models immediately unless `loads` is false. */
 class Engine {
   models: readonly string[] = []
   fencing = 0
   reports = 0
-  readonly taken: UpstreamOrder[] = []
+  readonly acceptedOrders: UpstreamOrder[] = []
   loads = true
 }
 
@@ -50,7 +50,7 @@
   async sendOrder (upstream: Upstream, order: UpstreamOrder): Promise<Either<PepperwoodError, void>> {
     const engine = this.get(upstream.name)
     if (upstream.checksFencing && order.fencing <= engine.fencing) return Left(new PepperwoodError({ name: 'upstreamRefused', message: 'old' }))
-    engine.taken.push(order)
+    engine.acceptedOrders.push(order)
     engine.fencing = order.fencing
     if (engine.loads) engine.models = order.models
     return Right(undefined)
@@ -66,7 +66,7 @@
 class Steward {
   readonly facts: FactStore
   readonly service: OrderService
-  hearsMajority = true
+  hasMajority = true
 
   constructor (private readonly _engines: Engines, public current: AcceptedConfiguration) {
     const clock = new VirtualClock()
@@ -80,11 +80,11 @@
       decisions: new DecisionLog(clock, 10),
       log: new LogService({ program: 'test', silent: true }),
       listOrdered: () => this.current.configuration.upstreams,
-      hearsMajority: () => this.hearsMajority
+      hearsMajority: () => this.hasMajority
     })
   }
 
-  /** Reads all engines and does what is due, until nothing more happens. */
+  /** Reads the reports of all engines and reconciles, for a number of rounds. */
   async runRounds (rounds = 4): Promise<void> {
     for (let round = 0; round < rounds; round++) {
       for (const upstream of this.current.configuration.upstreams) {
@@ -97,25 +97,25 @@
   }
 }
 
-test('engines come to hold what is wanted, each by one order', async () => {
+test('engines load the planned models, with one order each', async () => {
   const engines = new Engines()
   const steward = new Steward(engines, createConfiguration(1, 'm', true, 3))
   await steward.runRounds()
-  for (const name of ['a', 'b', 'c']) assert.equal([engines.get(name).models, engines.get(name).taken.length], [['m'], 1])
+  for (const name of ['a', 'b', 'c']) assert.equal([engines.get(name).models, engines.get(name).acceptedOrders.length], [['m'], 1])
   steward.service.dispose()
 })
 
-test('no more loads at once in a hall than allowed', async () => {
+test('concurrent loads in a hall do not exceed the limit', async () => {
   const engines = new Engines()
   for (const name of ['a', 'b', 'c']) engines.get(name).loads = false
   const steward = new Steward(engines, createConfiguration(1, 'm', true, 2))
   await steward.runRounds()
-  assert.is([...engines.engines.values()].filter(engine => engine.taken.length > 0).length, 2)
+  assert.is([...engines.engines.values()].filter(engine => engine.acceptedOrders.length > 0).length, 2)
   steward.service.dispose()
 })
 
 for (const checksFencing of [true, false]) {
-  test(`a steward with an old configuration does not undo a newer one, fencing ${checksFencing ? 'checked' : 'ignored'}`, async () => {
+  test(`a steward with an outdated configuration does not undo a newer one, with fencing ${checksFencing ? 'checked' : 'ignored'}`, async () => {
     const engines = new Engines()
     const old = new Steward(engines, createConfiguration(1, 'old', checksFencing, 3))
     const current = new Steward(engines, createConfiguration(2, 'new', checksFencing, 3))
@@ -128,7 +128,7 @@
   })
 }
 
-test('two stewards that both believe it is their turn ask for the same', async () => {
+test('two stewards that both manage the engines order the same models', async () => {
   const engines = new Engines()
   const both = [1, 2].map(() => new Steward(engines, createConfiguration(1, 'm', false, 3)))
   await Promise.all(both.map(steward => steward.runRounds()))
@@ -136,15 +136,15 @@
   for (const steward of both) steward.service.dispose()
 })
 
-test('engines that check nothing get no order from a steward that hears no majority', async () => {
+test('engines that do not check fencing get no order from a steward without a majority', async () => {
   const engines = new Engines()
   const steward = new Steward(engines, createConfiguration(1, 'm', false, 3))
-  steward.hearsMajority = false
+  steward.hasMajority = false
   await steward.runRounds()
-  assert.is(engines.get('a').taken.length, 0)
-  steward.hearsMajority = true
+  assert.is(engines.get('a').acceptedOrders.length, 0)
+  steward.hasMajority = true
   await steward.runRounds()
-  assert.is(engines.get('a').taken.length, 1)
+  assert.is(engines.get('a').acceptedOrders.length, 1)
   steward.service.dispose()
 })
 
--- a/src/services/routing/common/candidate.ts
+++ b/src/services/routing/common/candidate.ts
@@ -1,33 +1,33 @@
 /**
- * An upstream as a routing decision sees it: plain numbers, each with its age where it ages.
+ * Inputs of a routing decision for one upstream. The reported numbers come with the age of the report.
  */
 export interface Candidate {
   readonly name: string
   readonly hall: string
-  /** Calls that the upstream runs and holds waiting, as reported. */
+  /** Running and queued calls, as last reported by the upstream. */
   readonly reportedBacklog: number
+  /** Number of calls that the upstream runs concurrently. */
   readonly capacity: number
   readonly reportAgeMs: number
-  /** Calls of this gate that are open now. */
+  /** Calls from this gate that are open now. */
   readonly ownInFlight: number
   /** Calls that this gate sent since the report was made. */
   readonly ownSentSinceReport: number
-  /** Calls of this gate that the report counted and that have ended since. */
+  /** Calls from this gate that are included in the report and have ended since. */
   readonly ownDoneSinceReport: number
-  /** How much longer than usual for their kind calls take here; 1 is usual. */
+  /** How long calls take at this upstream relative to the mean of their kind; 1 is average. */
   readonly slowness: number
-  /** How likely the request's prefix is still cached here, from 0 to 1. */
-  readonly prefixBelief: number
+  /** Estimated probability, from 0 to 1, that the request's prefix is cached at this upstream. */
+  readonly prefixProbability: number
 }
 
-/** What is to be routed. */
 export interface RoutingRequest {
   readonly prefixKey: string
   readonly hall: string
-  /** What a call of this kind usually takes, in milliseconds. */
-  readonly usualMs: number
-  /** Gates that send to the same upstreams. */
-  readonly liveGates: number
+  /** Mean duration of calls of this kind, in milliseconds. */
+  readonly expectedMs: number
+  /** Number of gates that send to the same upstreams, including this one. */
+  readonly liveGateCount: number
 }
 
 export interface RoutingChoice {
@@ -35,14 +35,16 @@
   readonly reason: string
 }
 
-/** What the backlog at an upstream is estimated from. */
+/** The inputs of the backlog estimate. */
 export type BacklogInputs = Pick<Candidate, 'reportedBacklog' | 'ownInFlight' | 'ownSentSinceReport' | 'ownDoneSinceReport'>
 
 /**
- * The report, and what this gate sent and saw end since. The other gates do alike, but not the same at the same moment:
- * taking them all for doing as much as this one makes the estimate jump, taking them for idle makes all choose alike.
+ * Estimates the calls at an upstream: the reported backlog plus the change since the report, of which a gate knows only its own
+ * calls. The other gates behave similarly but not in step, so the own change is scaled by the square root of the number of
+ * gates. Scaling by the full number makes the estimate fluctuate; regarding the other gates as idle makes all gates choose the
+ * same upstream.
  */
-export function estimateBacklog (inputs: BacklogInputs, liveGates: number): number {
-  const changeSince = (inputs.ownSentSinceReport - inputs.ownDoneSinceReport) * Math.sqrt(liveGates)
+export function estimateBacklog (inputs: BacklogInputs, liveGateCount: number): number {
+  const changeSince = (inputs.ownSentSinceReport - inputs.ownDoneSinceReport) * Math.sqrt(liveGateCount)
   return Math.max(inputs.ownInFlight, inputs.reportedBacklog + changeSince)
 }
--- a/src/services/routing/common/preferredUpstreams.ts
+++ b/src/services/routing/common/preferredUpstreams.ts
@@ -1,20 +1,20 @@
 /**
- * The upstreams that a prefix prefers, in a rendezvous order that is the same for every gate.
+ * Selects the preferred upstreams of a prefix by rendezvous hashing, so that its requests reach the same prefix caches.
  */
 import { hashText } from '../../../base/common/rendezvous.ts'
 
-/** The first candidates in the prefix's rendezvous order; the same for every gate. */
+/** Returns the first `count` candidates in the rendezvous order of the prefix, which is the same for every gate. */
 export function findPreferred<T extends { readonly name: string }> (prefixKey: string, candidates: readonly T[], count: number): readonly T[] {
   const keyHash = hashText(prefixKey)
-  const best: { readonly candidate: T, readonly score: number }[] = []
+  const top: { readonly candidate: T, readonly score: number }[] = []
   for (const candidate of candidates) {
-    const score = mixHashes(keyHash, hashName(candidate.name))
-    if (best.length === count && score <= (best.at(-1)?.score ?? 0)) continue
-    best.push({ candidate, score })
-    best.sort((a, b) => b.score - a.score)
-    best.length = Math.min(best.length, count)
+    const score = computeScore(keyHash, hashName(candidate.name))
+    if (top.length === count && score <= (top.at(-1)?.score ?? 0)) continue
+    top.push({ candidate, score })
+    top.sort((a, b) => b.score - a.score)
+    top.length = Math.min(top.length, count)
   }
-  return best.map(entry => entry.candidate)
+  return top.map(entry => entry.candidate)
 }
 
 const nameHashes = new Map<string, number>()
@@ -30,8 +30,8 @@
   return hash
 }
 
-function mixHashes (a: number, b: number): number {
-  let hash = Math.imul(a ^ b, 0x9e3779b1)
+function computeScore (keyHash: number, nameHash: number): number {
+  let hash = Math.imul(keyHash ^ nameHash, 0x9e3779b1)
   hash ^= hash >>> 15
   hash = Math.imul(hash, 0x85ebca77)
   return (hash ^ (hash >>> 13)) >>> 0
--- a/src/services/routing/common/router.ts
+++ b/src/services/routing/common/router.ts
@@ -1,5 +1,5 @@
 /**
- * Which upstream runs a stage. Candidates are free, live and able to run it; the router only orders them.
+ * Chooses the upstream that runs a stage. All candidates are live, have a free slot and can run the stage.
  */
 import type { IRandom } from '../../../base/common/random.ts'
 import { findPreferred } from './preferredUpstreams.ts'
@@ -7,21 +7,21 @@
 import type { Candidate, RoutingChoice, RoutingRequest } from './candidate.ts'
 
 export abstract class Router {
-  /** Undefined when there is no candidate. */
+  /** Returns undefined if there is no candidate. */
   abstract choose (request: RoutingRequest, candidates: readonly Candidate[]): RoutingChoice | undefined
 }
 
-/** Baseline: one after the other. */
+/** Baseline: chooses the candidates in turn. */
 export class RoundRobinRouter extends Router {
-  private _next = 0
+  private _nextIndex = 0
 
   choose (_request: RoutingRequest, candidates: readonly Candidate[]): RoutingChoice | undefined {
-    const candidate = candidates[this._next++ % Math.max(1, candidates.length)]
+    const candidate = candidates[this._nextIndex++ % Math.max(1, candidates.length)]
     return candidate && { candidate, reason: 'next in turn' }
   }
 }
 
-/** Baseline: the least backlog that was reported last, whatever was sent since. */
+/** Baseline: chooses the lowest reported backlog relative to capacity, and ignores calls sent since the report. */
 export class LeastReportedRouter extends Router {
   choose (_request: RoutingRequest, candidates: readonly Candidate[]): RoutingChoice | undefined {
     const candidate = findLeast(candidates, item => item.reportedBacklog / item.capacity)
@@ -31,20 +31,20 @@
 
 export interface EstimatedFinishOptions {
   readonly random: IRandom
-  /** Candidates drawn at random beside those that the prefix prefers. */
+  /** Number of candidates drawn at random in addition to those preferred for the prefix. */
   readonly randomCount?: number
   readonly preferredCount?: number
-  /** The part of a call that a cached prefix saves. */
+  /** Fraction of a call's duration that a cached prefix saves. */
   readonly prefixGain?: number
-  /** What another hall adds, in milliseconds. */
+  /** Added cost of a candidate in another hall, in milliseconds. */
   readonly hallPenaltyMs?: number
-  /** How much each call in the batch slows the others, as a part of the usual time at a full batch. */
+  /** Slowdown of a call in a full batch, as a fraction of its usual duration; proportionally less in a partly filled batch. */
   readonly batchSlowdown?: number
 }
 
 /**
- * The earliest estimated finish among the upstreams that the prefix prefers and a few at random, so that gates
- * with the same old report don't all choose the same one.
+ * Chooses the earliest estimated finish among the upstreams preferred for the prefix and a few drawn at random. The random
+ * ones keep gates that have the same outdated report from all choosing the same upstream.
  */
 export class EstimatedFinishRouter extends Router {
   private readonly _random: IRandom
@@ -65,32 +65,32 @@
   }
 
   choose (request: RoutingRequest, candidates: readonly Candidate[]): RoutingChoice | undefined {
-    const looked = this._sample(request, candidates)
-    const candidate = findLeast(looked, item => this.estimateMs(request, item))
+    const sampled = this._sample(request, candidates)
+    const candidate = findLeast(sampled, item => this.estimateMs(request, item))
     if (candidate === undefined) return undefined
     const estimate = Math.round(this.estimateMs(request, candidate))
-    return { candidate, reason: `estimated ${estimate} ms, best of ${looked.length}` }
+    return { candidate, reason: `estimated ${estimate} ms, best of ${sampled.length}` }
   }
 
-  /** What the call would take at the candidate, in milliseconds. */
+  /** Estimated duration of the call at the candidate, including the wait, in milliseconds. */
   estimateMs (request: RoutingRequest, candidate: Candidate): number {
-    const callMs = request.usualMs * candidate.slowness
-    const backlog = estimateBacklog(candidate, request.liveGates)
+    const callMs = request.expectedMs * candidate.slowness
+    const backlog = estimateBacklog(candidate, request.liveGateCount)
     const waiting = Math.max(0, backlog + 1 - candidate.capacity)
     const waitMs = waiting / candidate.capacity * callMs
     const batchMs = callMs * this._batchSlowdown * Math.min(1, backlog / candidate.capacity)
-    const savedMs = callMs * this._prefixGain * candidate.prefixBelief
+    const savedMs = callMs * this._prefixGain * candidate.prefixProbability
     return callMs + waitMs + batchMs - savedMs + (candidate.hall === request.hall ? 0 : this._hallPenaltyMs)
   }
 
   private _sample (request: RoutingRequest, candidates: readonly Candidate[]): readonly Candidate[] {
     if (candidates.length <= this._preferredCount + this._randomCount) return candidates
-    const looked = new Set(findPreferred(request.prefixKey, candidates, this._preferredCount))
+    const sampled = new Set(findPreferred(request.prefixKey, candidates, this._preferredCount))
     for (let draw = 0; draw < this._randomCount; draw++) {
       const drawn = candidates[Math.floor(this._random.next() * candidates.length)]
-      if (drawn !== undefined) looked.add(drawn)
+      if (drawn !== undefined) sampled.add(drawn)
     }
-    return [...looked]
+    return [...sampled]
   }
 }
 
--- a/src/services/scheduling/common/stageQueue.ts
+++ b/src/services/scheduling/common/stageQueue.ts
@@ -1,22 +1,23 @@
 /**
- * Stages that wait for a free upstream of their role.
+ * Queues of stages that wait for a free upstream of their role.
  */
 
-/** A stage that wants an upstream. */
+/** The request of one stage for an upstream. */
 export interface StageTicket {
   readonly requestId: string
   readonly customer: string
-  /** The customer's share relative to the others. */
+  /** The customer's weight relative to other customers in fair queueing. */
   readonly customerWeight: number
   readonly priority: number
-  /** On this process's clock. */
+  /** On this process's clock, in milliseconds. */
   readonly deadlineAt: number
   readonly role: string
-  /** Pipeline and stage; stages of one key take alike. */
+  /** Pipeline and stage; calls of one key are expected to take about the same time. */
   readonly stageKey: string
+  /** Empty when the stage needs no particular model. */
   readonly model: string
   readonly prefixKey: string
-  /** Upstreams that this stage was tried at already. */
+  /** Names of the upstreams at which an attempt at this stage has already failed. */
   readonly tried: ReadonlySet<string>
 }
 
@@ -26,8 +27,8 @@
   abstract remove (ticket: StageTicket): void
   /** The tickets in the order in which they should be served now. */
   abstract list (): readonly StageTicket[]
-  /** Takes in that a ticket was served, and what its service costs. */
-  abstract recordServed (ticket: StageTicket, cost: number): void
+  /** Records that a ticket was granted an upstream, and the cost of serving it. */
+  abstract recordServed (ticket: StageTicket, costMs: number): void
 }
 
 /** Baseline: first come, first served. */
@@ -54,52 +55,53 @@
 }
 
 /**
- * Priority first; within a priority the customer that has had least for its weight, and of one customer
- * the earliest deadline. A customer that was idle starts level with the least served, so it saves nothing up.
+ * Weighted fair queue. Orders tickets by priority, then by the cost already served to their customer relative to its weight
+ * (lowest first), and within one customer by deadline (earliest first). A customer that returns from idle starts at the
+ * current virtual time, so that it accumulates no credit while it is idle.
  */
 export class FairQueue extends StageQueue {
   private readonly _tickets = new Set<StageTicket>()
-  /** Cost served so far, over weight, by customer. */
-  private readonly _served = new Map<string, number>()
+  /** Cost served so far divided by weight, by customer. */
+  private readonly _weightedCosts = new Map<string, number>()
   private readonly _waitingCounts = new Map<string, number>()
-  /** The served cost of the customer that was served last: the level that newcomers start from. */
-  private _level = 0
+  /** The highest weighted cost that a customer had when it was served; new and returning customers start from it. */
+  private _virtualTime = 0
 
   get size (): number {
     return this._tickets.size
   }
 
   add (ticket: StageTicket): void {
-    const waiting = this._waitingCounts.get(ticket.customer) ?? 0
-    if (waiting === 0) this._served.set(ticket.customer, Math.max(this._getServed(ticket.customer), this._level))
-    this._waitingCounts.set(ticket.customer, waiting + 1)
+    const waitingCount = this._waitingCounts.get(ticket.customer) ?? 0
+    if (waitingCount === 0) this._weightedCosts.set(ticket.customer, Math.max(this._getWeightedCost(ticket.customer), this._virtualTime))
+    this._waitingCounts.set(ticket.customer, waitingCount + 1)
     this._tickets.add(ticket)
   }
 
   remove (ticket: StageTicket): void {
     if (!this._tickets.delete(ticket)) return
-    const waiting = (this._waitingCounts.get(ticket.customer) ?? 1) - 1
-    if (waiting === 0) this._waitingCounts.delete(ticket.customer)
-    else this._waitingCounts.set(ticket.customer, waiting)
+    const waitingCount = (this._waitingCounts.get(ticket.customer) ?? 1) - 1
+    if (waitingCount === 0) this._waitingCounts.delete(ticket.customer)
+    else this._waitingCounts.set(ticket.customer, waitingCount)
   }
 
   list (): readonly StageTicket[] {
     return [...this._tickets].sort((a, b) => this._compare(a, b))
   }
 
-  recordServed (ticket: StageTicket, cost: number): void {
-    const before = this._getServed(ticket.customer)
-    this._level = Math.max(this._level, before)
-    this._served.set(ticket.customer, before + cost / ticket.customerWeight)
+  recordServed (ticket: StageTicket, costMs: number): void {
+    const weightedCost = this._getWeightedCost(ticket.customer)
+    this._virtualTime = Math.max(this._virtualTime, weightedCost)
+    this._weightedCosts.set(ticket.customer, weightedCost + costMs / ticket.customerWeight)
   }
 
   private _compare (a: StageTicket, b: StageTicket): number {
     if (a.priority !== b.priority) return b.priority - a.priority
     if (a.customer === b.customer) return a.deadlineAt - b.deadlineAt
-    return this._getServed(a.customer) - this._getServed(b.customer) || a.deadlineAt - b.deadlineAt
+    return this._getWeightedCost(a.customer) - this._getWeightedCost(b.customer) || a.deadlineAt - b.deadlineAt
   }
 
-  private _getServed (customer: string): number {
-    return this._served.get(customer) ?? 0
+  private _getWeightedCost (customer: string): number {
+    return this._weightedCosts.get(customer) ?? 0
   }
 }
--- a/src/services/scheduling/common/upstreamDirectory.ts
+++ b/src/services/scheduling/common/upstreamDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Where the scheduler finds upstreams: the configuration in force joined with the newest facts.
+ * Looks up upstreams for the scheduler: the configuration in force combined with the latest facts.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { IConfigurationService } from '../../configuration/common/configurationService.ts'
@@ -9,23 +9,24 @@
 import type { Upstream } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 
 export interface IUpstreamDirectory {
-  /** The upstreams of a role that the configuration in force names. */
+  /** Upstreams of a role in the configuration in force. */
   listRole (role: string): readonly Upstream[]
-  /** An upstream with the newest facts about it. */
+  /** Returns the upstream together with the latest facts about it. */
   getView (upstream: Upstream): UpstreamView
-  /** Gates that share the upstreams, this one included. */
+  /** Number of gates that share the upstreams, including this one. */
   countLiveGates (): number
 }
 
-/** A gate that was not heard of for so long is taken for gone. */
-const GATE_SILENCE_MS = 5000
-/** Counting the gates anew for each decision would cost more than it gains. */
-const GATE_COUNT_PERIOD_MS = 250
+/** A gate that has published no fact for this long is considered gone. */
+const GATE_TIMEOUT_MS = 5000
+/** The count is cached, because recounting the gates for each decision costs more than the accuracy is worth. */
+const GATE_COUNT_CACHE_MS = 250
 
 export class UpstreamDirectory implements IUpstreamDirectory {
-  private _roles = new Map<string, readonly Upstream[]>()
-  private _rolesOf: unknown
-  private _liveGates = 1
+  private _upstreamsByRole = new Map<string, readonly Upstream[]>()
+  /** The configuration from which `_upstreamsByRole` was built. */
+  private _groupedConfiguration: unknown
+  private _liveGateCount = 1
   private _countedAt = -Infinity
 
   constructor (
@@ -36,11 +37,11 @@
 
   listRole (role: string): readonly Upstream[] {
     const current = this._configuration.current
-    if (current !== this._rolesOf) {
-      this._rolesOf = current
-      this._roles = groupByRole(current?.configuration.upstreams ?? [])
+    if (current !== this._groupedConfiguration) {
+      this._groupedConfiguration = current
+      this._upstreamsByRole = groupByRole(current?.configuration.upstreams ?? [])
     }
-    return this._roles.get(role) ?? []
+    return this._upstreamsByRole.get(role) ?? []
   }
 
   getView (upstream: Upstream): UpstreamView {
@@ -49,20 +50,20 @@
 
   countLiveGates (): number {
     const now = this._clock.now()
-    if (now - this._countedAt < GATE_COUNT_PERIOD_MS) return this._liveGates
+    if (now - this._countedAt < GATE_COUNT_CACHE_MS) return this._liveGateCount
     this._countedAt = now
-    const live = this._facts.listKind('gate').filter(fact => now - fact.observedAt < GATE_SILENCE_MS && !fact.value.draining)
-    this._liveGates = Math.max(1, live.length)
-    return this._liveGates
+    const live = this._facts.listKind('gate').filter(fact => now - fact.observedAt < GATE_TIMEOUT_MS && !fact.value.draining)
+    this._liveGateCount = Math.max(1, live.length)
+    return this._liveGateCount
   }
 }
 
 function groupByRole (upstreams: readonly Upstream[]): Map<string, readonly Upstream[]> {
-  const roles = new Map<string, Upstream[]>()
+  const groups = new Map<string, Upstream[]>()
   for (const upstream of upstreams) {
-    const group = roles.get(upstream.role)
-    if (group === undefined) roles.set(upstream.role, [upstream])
+    const group = groups.get(upstream.role)
+    if (group === undefined) groups.set(upstream.role, [upstream])
     else group.push(upstream)
   }
-  return roles
+  return groups
 }
--- a/src/services/scheduling/common/upstreamPool.ts
+++ b/src/services/scheduling/common/upstreamPool.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams of each role as this gate may use them: which stay, which are healthy, which have room. With many of
- * them, a decision looks at a few and only then, if none of these has room, at all.
+ * Selects the upstreams of a role that this gate can use: not leaving, healthy and with a free slot. In large roles a
+ * sample is checked first, and all upstreams only if none in the sample has a free slot.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { IRandom } from '../../../base/common/random.ts'
@@ -10,8 +10,8 @@
 import type { ConcurrencyLimiter } from '../../limits/common/concurrencyLimiter.ts'
 import type { Candidate } from '../../routing/common/candidate.ts'
 import { findPreferred } from '../../routing/common/preferredUpstreams.ts'
-import type { PrefixBelief } from '../../routing/common/prefixBelief.ts'
-import type { LatencyBook } from './latencyBook.ts'
+import type { PrefixCacheTracker } from '../../routing/common/prefixBelief.ts'
+import type { LatencyTracker } from './latencyBook.ts'
 import type { StageTicket } from './stageQueue.ts'
 import type { IUpstreamDirectory } from './upstreamDirectory.ts'
 import { getCapacity, UpstreamState } from './upstreamState.ts'
@@ -20,38 +20,38 @@
   readonly clock: IClock
   readonly random: IRandom
   readonly directory: IUpstreamDirectory
-  readonly latencies: LatencyBook
-  readonly prefixes: PrefixBelief
+  readonly latencies: LatencyTracker
+  readonly prefixCaches: PrefixCacheTracker
   readonly createLimiter: () => ConcurrencyLimiter
   readonly createHealth: () => HealthTracker
 }
 
-/** What was found for a ticket: upstreams with room, or why there is none. */
+/** Result of the search for a ticket: the upstreams with a free slot, or the reason why there is none. */
 export type FreeUpstreams =
   | { readonly kind: 'free', readonly views: readonly UpstreamView[] }
-  /** Some could run the stage and none has room. */
+  /** Some upstreams can run the stage, but none has a free slot. */
   | { readonly kind: 'full' }
-  /** None can run the stage. */
+  /** No upstream can run the stage. */
   | { readonly kind: 'none' }
 
-interface CountedSlots {
+interface SlotCount {
   readonly slots: number
-  readonly at: number
+  readonly countedAt: number
 }
 
-/** Roles with more upstreams are sampled. */
-const MAX_FULL_LOOK = 16
-const PREFERRED_COUNT = 2
-const RANDOM_COUNT = 6
-/** How long the count of a role's slots is good enough for admission. */
-const SLOT_COUNT_PERIOD_MS = 50
+/** Roles with more upstreams than this are sampled before they are scanned in full. */
+const MAX_FULL_SCAN = 16
+const PREFERRED_SAMPLE_COUNT = 2
+const RANDOM_SAMPLE_COUNT = 6
+/** Admission may use a count of a role's slots that is up to this old. */
+const SLOT_COUNT_CACHE_MS = 50
 
 export class UpstreamPool {
   private readonly _options: UpstreamPoolOptions
   private readonly _states = new Map<string, UpstreamState>()
-  /** The lowest priority that asked for a role so far. */
-  private readonly _lowestPriority = new Map<string, number>()
-  private readonly _slots = new Map<string, CountedSlots>()
+  /** The lowest priority requested so far, by role. */
+  private readonly _lowestPriorities = new Map<string, number>()
+  private readonly _slotCounts = new Map<string, SlotCount>()
 
   constructor (options: UpstreamPoolOptions) {
     this._options = options
@@ -68,26 +68,26 @@
 
   findFree (ticket: StageTicket): FreeUpstreams {
     const upstreams = this._options.directory.listRole(ticket.role)
-    if (upstreams.length > MAX_FULL_LOOK) {
+    if (upstreams.length > MAX_FULL_SCAN) {
       const sampled = this._sample(ticket, upstreams)
       if (sampled.length > 0) return { kind: 'free', views: sampled }
     }
-    const usable = this._listUsable(upstreams).filter(view => holdsModel(view, ticket.model))
+    const usable = this._listUsable(upstreams).filter(view => hasModel(view, ticket.model))
     if (usable.length === 0) return { kind: 'none' }
     const untried = usable.filter(view => !ticket.tried.has(view.upstream.name))
     const candidates = untried.length > 0 ? untried : usable
-    const free = candidates.filter(view => this._hasRoom(view, this._isPreferred(ticket)))
+    const free = candidates.filter(view => this._hasFreeSlot(view, this._hasElevatedPriority(ticket)))
     if (free.length > 0) return { kind: 'free', views: free }
-    return this._isBelowEqualPart(usable) ? { kind: 'free', views: candidates } : { kind: 'full' }
+    return this._isBelowEqualShare(usable) ? { kind: 'free', views: candidates } : { kind: 'full' }
   }
 
-  /** Calls that this gate may have open at a role's usable upstreams. */
+  /** Number of calls that this gate may have open at the usable upstreams of a role; may be fractional. */
   countSlots (role: string): number {
     const now = this._options.clock.now()
-    const known = this._slots.get(role)
-    if (known !== undefined && now - known.at < SLOT_COUNT_PERIOD_MS) return known.slots
-    const slots = this._listUsable(this._options.directory.listRole(role)).reduce((sum, view) => sum + this._computePart(view), 0)
-    this._slots.set(role, { slots, at: now })
+    const cached = this._slotCounts.get(role)
+    if (cached !== undefined && now - cached.countedAt < SLOT_COUNT_CACHE_MS) return cached.slots
+    const slots = this._listUsable(this._options.directory.listRole(role)).reduce((sum, view) => sum + this._computeShare(view), 0)
+    this._slotCounts.set(role, { slots, countedAt: now })
     return slots
   }
 
@@ -101,11 +101,11 @@
       capacity: getCapacity(view),
       reportAgeMs: view.load === undefined ? 0 : now - view.reportedAt,
       slowness: this._options.latencies.getSlowness(name, now),
-      prefixBelief: this._getPrefixBelief(view, ticket.prefixKey, now)
+      prefixProbability: this._getPrefixProbability(view, ticket.prefixKey, now)
     }
   }
 
-  /** The state of each upstream that was called or looked at, for the dump. */
+  /** State of each upstream that was called or considered, for the process dump. */
   describe (): readonly object[] {
     const now = this._options.clock.now()
     return [...this._states].map(([name, state]) => ({
@@ -117,32 +117,35 @@
     }))
   }
 
-  /** A few upstreams with room: those that the prefix prefers, and some at random. */
+  /** A few untried upstreams with a free slot: those preferred for the prefix, and some drawn at random. */
   private _sample (ticket: StageTicket, upstreams: readonly Upstream[]): readonly UpstreamView[] {
-    const drawn = new Set(findPreferred(ticket.prefixKey, upstreams, PREFERRED_COUNT))
-    for (let draw = 0; draw < RANDOM_COUNT; draw++) {
+    const selected = new Set(findPreferred(ticket.prefixKey, upstreams, PREFERRED_SAMPLE_COUNT))
+    for (let draw = 0; draw < RANDOM_SAMPLE_COUNT; draw++) {
       const upstream = upstreams[Math.floor(this._options.random.next() * upstreams.length)]
-      if (upstream !== undefined) drawn.add(upstream)
+      if (upstream !== undefined) selected.add(upstream)
     }
     const views: UpstreamView[] = []
-    for (const upstream of drawn) {
+    for (const upstream of selected) {
       if (ticket.tried.has(upstream.name)) continue
       const view = this._options.directory.getView(upstream)
-      if (!view.isLeaving && !this._isEjected(view) && holdsModel(view, ticket.model) && this._hasRoom(view, this._isPreferred(ticket))) views.push(view)
+      if (!view.isLeaving && !this._isEjected(view) && hasModel(view, ticket.model) && this._hasFreeSlot(view, this._hasElevatedPriority(ticket))) views.push(view)
     }
     return views
   }
 
-  /** Neither leaving nor ejected; when more than half are ejected, those that come back soonest are used all the same. */
+  /**
+   * Upstreams that are neither leaving nor ejected. If more than half are ejected, those whose ejection ends first are used
+   * anyway, so that at most half are excluded.
+   */
   private _listUsable (upstreams: readonly Upstream[]): readonly UpstreamView[] {
-    const staying = upstreams.map(upstream => this._options.directory.getView(upstream)).filter(view => !view.isLeaving)
-    const ejected = staying.filter(view => this._isEjected(view))
-    if (ejected.length === 0) return staying
-    const mayEject = Math.floor(staying.length / 2)
-    const kept = [...ejected]
+    const active = upstreams.map(upstream => this._options.directory.getView(upstream)).filter(view => !view.isLeaving)
+    const ejected = active.filter(view => this._isEjected(view))
+    if (ejected.length === 0) return active
+    const maxEjected = Math.floor(active.length / 2)
+    const readmitted = [...ejected]
       .sort((a, b) => this._getEjectedUntil(a) - this._getEjectedUntil(b))
-      .slice(0, Math.max(0, ejected.length - mayEject))
-    return staying.filter(view => !ejected.includes(view) || kept.includes(view))
+      .slice(0, Math.max(0, ejected.length - maxEjected))
+    return active.filter(view => !ejected.includes(view) || readmitted.includes(view))
   }
 
   private _isEjected (view: UpstreamView): boolean {
@@ -153,45 +156,48 @@
     return this.getState(view.upstream.name).health.ejectedUntil
   }
 
-  /** However full the upstreams seem, a gate may have its equal part of the role's capacity open. */
-  private _isBelowEqualPart (usable: readonly UpstreamView[]): boolean {
+  /**
+   * Whether this gate has fewer calls open than its equal share of the role's capacity. It may use that share however full the
+   * upstreams appear.
+   */
+  private _isBelowEqualShare (usable: readonly UpstreamView[]): boolean {
     let inFlight = 0
-    let part = 0
+    let share = 0
     for (const view of usable) {
       const state = this.getState(view.upstream.name)
       if (state.health.getState(this._options.clock.now()) === 'probing') continue
       inFlight += state.inFlight
-      part += state.limiter.equalShare
+      share += state.limiter.equalShare
     }
-    return inFlight + 1 <= Math.max(1, part)
+    return inFlight + 1 <= Math.max(1, share)
   }
 
-  private _computePart (view: UpstreamView): number {
-    return this.getState(view.upstream.name).computePart(view, this._options.directory.countLiveGates())
+  private _computeShare (view: UpstreamView): number {
+    return this.getState(view.upstream.name).computeShare(view, this._options.directory.countLiveGates())
   }
 
-  private _hasRoom (view: UpstreamView, isPreferred: boolean): boolean {
+  private _hasFreeSlot (view: UpstreamView, isPreferred: boolean): boolean {
     const { clock, directory } = this._options
     const state = this.getState(view.upstream.name)
-    return state.inFlight < state.computeRoom(view, directory.countLiveGates(), clock.now(), isPreferred)
+    return state.inFlight < state.computeCallLimit(view, directory.countLiveGates(), clock.now(), isPreferred)
   }
 
-  /** Whether work of lower priority shares the role's upstreams. */
-  private _isPreferred (ticket: StageTicket): boolean {
-    const lowest = Math.min(ticket.priority, this._lowestPriority.get(ticket.role) ?? Infinity)
-    this._lowestPriority.set(ticket.role, lowest)
+  /** Records the priority of the ticket, and returns whether a lower one has been requested for its role so far. */
+  private _hasElevatedPriority (ticket: StageTicket): boolean {
+    const lowest = Math.min(ticket.priority, this._lowestPriorities.get(ticket.role) ?? Infinity)
+    this._lowestPriorities.set(ticket.role, lowest)
     return ticket.priority > lowest
   }
 
-  private _getPrefixBelief (view: UpstreamView, prefixKey: string, now: number): number {
-    const { prefixes } = this._options
-    if (view.load?.prefixes.includes(prefixKey)) prefixes.record(view.upstream.name, prefixKey, view.reportedAt)
-    return prefixes.get(view.upstream.name, prefixKey, now)
+  private _getPrefixProbability (view: UpstreamView, prefixKey: string, now: number): number {
+    const { prefixCaches } = this._options
+    if (view.load?.prefixes.includes(prefixKey)) prefixCaches.record(view.upstream.name, prefixKey, view.reportedAt)
+    return prefixCaches.getProbability(view.upstream.name, prefixKey, now)
   }
 }
 
-/** An upstream that has not said what it holds is taken to hold it; it refuses if it does not. */
-function holdsModel (view: UpstreamView, model: string): boolean {
+/** An upstream that has not reported its models is assumed to hold the model; it refuses the call if it does not. */
+function hasModel (view: UpstreamView, model: string): boolean {
   if (model === '' || view.load === undefined) return true
-  return view.load.models.some(held => held === model || held.startsWith(`${model}@`))
+  return view.load.models.some(loaded => loaded === model || loaded.startsWith(`${model}@`))
 }
--- a/src/services/scheduling/common/upstreamScheduler.ts
+++ b/src/services/scheduling/common/upstreamScheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Gives each stage an upstream: it holds the queues by role and the latencies of this gate's own calls, and lets
- * the router choose among the upstreams that have room.
+ * Assigns upstreams to stages. Keeps a queue per role and the latencies of this gate's own calls, and has the router
+ * choose among the upstreams with a free slot.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import type { IRandom } from '../../../base/common/random.ts'
@@ -8,29 +8,30 @@
 import type { HealthTracker } from '../../health/common/healthTracker.ts'
 import type { ConcurrencyLimiter, LimitSignal } from '../../limits/common/concurrencyLimiter.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
-import { PrefixBelief } from '../../routing/common/prefixBelief.ts'
+import { PrefixCacheTracker } from '../../routing/common/prefixBelief.ts'
 import type { Router } from '../../routing/common/router.ts'
-import { LatencyBook } from './latencyBook.ts'
+import { LatencyTracker } from './latencyBook.ts'
 import type { StageQueue, StageTicket } from './stageQueue.ts'
 import type { IUpstreamDirectory } from './upstreamDirectory.ts'
 import { UpstreamPool } from './upstreamPool.ts'
 
-/** An upstream given to a stage, until it is released. */
+/** An upstream assigned to a stage until the slot is released. */
 export interface StageSlot {
   readonly ticket: StageTicket
   readonly view: UpstreamView
+  /** Why this upstream was chosen, for the decision log. */
   readonly reason: string
   readonly startedAt: number
 }
 
-/** How the call went, for limits, health and latencies. `abandoned` calls say nothing of the upstream. */
+/** Outcome of the call, for limits, health and latencies. `abandoned` calls do not count for or against the upstream. */
 export interface SlotResult {
   readonly kind: 'answered' | 'busy' | 'unreachable' | 'failed' | 'lost' | 'slow' | 'abandoned'
-  /** The upstream has the request's prefix in its cache from now on. */
+  /** Whether the call left the request's prefix in the upstream's cache. */
   readonly cachesPrefix?: boolean
 }
 
-/** Who waits for a slot. */
+/** Callbacks of a caller that waits for a slot. At most one of them is called, once. */
 export interface SlotListener {
   onGranted (slot: StageSlot): void
   onRefused (error: PepperwoodError): void
@@ -45,7 +46,7 @@
   readonly createQueue: () => StageQueue
   readonly createLimiter: () => ConcurrencyLimiter
   readonly createHealth: () => HealthTracker
-  /** Drops waiting work once it cannot finish in time. */
+  /** Whether queued stages are refused once they cannot finish before their deadline. */
   readonly dropsHopeless: boolean
 }
 
@@ -54,10 +55,10 @@
   readonly listeners: Map<StageTicket, SlotListener>
 }
 
-/** What a turn counts at least, so that calls too short to measure are still shared out fairly. */
-const MIN_SERVED_COST = 1
+/** Minimum cost of a served ticket, so that calls too short to measure are still distributed fairly. */
+const MIN_SERVED_COST_MS = 1
 
-const SIGNALS: Readonly<Record<SlotResult['kind'], LimitSignal | undefined>> = {
+const LIMIT_SIGNALS: Readonly<Record<SlotResult['kind'], LimitSignal | undefined>> = {
   answered: 'ok',
   busy: 'busy',
   unreachable: 'failed',
@@ -68,16 +69,16 @@
 }
 
 export class UpstreamScheduler {
-  readonly latencies = new LatencyBook()
-  readonly prefixes = new PrefixBelief()
+  readonly latencies = new LatencyTracker()
+  readonly prefixCaches = new PrefixCacheTracker()
   private readonly _pool: UpstreamPool
   private readonly _roles = new Map<string, RoleQueue>()
 
   constructor (private readonly _options: UpstreamSchedulerOptions) {
-    this._pool = new UpstreamPool({ ..._options, latencies: this.latencies, prefixes: this.prefixes })
+    this._pool = new UpstreamPool({ ..._options, latencies: this.latencies, prefixCaches: this.prefixCaches })
   }
 
-  /** Asks for an upstream; the listener is called at once or later, exactly once, unless the ticket is withdrawn. */
+  /** Requests an upstream. The listener is called exactly once, possibly synchronously, unless the ticket is withdrawn first. */
   acquire (ticket: StageTicket, listener: SlotListener): void {
     const role = this._getRole(ticket.role)
     role.queue.add(ticket)
@@ -85,21 +86,21 @@
     this._dispatch(ticket.role)
   }
 
-  /** Takes a waiting ticket back. */
+  /** Removes a queued ticket; its listener is not called. */
   withdraw (ticket: StageTicket): void {
     const role = this._getRole(ticket.role)
     role.queue.remove(ticket)
     role.listeners.delete(ticket)
   }
 
-  /** Gives the upstream back; a second release of the same slot changes nothing. */
+  /** Frees the slot and records the outcome of its call; a second release of the same slot has no effect. */
   release (slot: StageSlot, result: SlotResult): void {
     const now = this._options.clock.now()
     const name = slot.view.upstream.name
     const state = this._pool.getState(name)
     const inFlight = state.inFlight
     if (state.end(slot, now) === undefined) return
-    const signal = SIGNALS[result.kind]
+    const signal = LIMIT_SIGNALS[result.kind]
     if (signal !== undefined) state.limiter.record(signal, inFlight)
     if (result.kind === 'answered') this._recordAnswer(slot, result, now)
     else if (result.kind === 'slow') this.latencies.record(slot.ticket.stageKey, name, now - slot.startedAt, now)
@@ -107,12 +108,12 @@
     this._dispatch(slot.ticket.role)
   }
 
-  /** Gives what has become free to what waits, and drops what has become hopeless. */
+  /** Assigns free slots to queued tickets and, if configured, refuses those that can no longer meet their deadline. */
   sweep (): void {
     for (const [role, { queue }] of this._roles) if (queue.size > 0) this._dispatch(role)
   }
 
-  /** Calls that this gate may have open at a role's usable upstreams. */
+  /** Number of calls that this gate may have open at the usable upstreams of a role; may be fractional. */
   countSlots (role: string): number {
     return this._pool.countSlots(role)
   }
@@ -121,7 +122,7 @@
     return this._roles.get(role)?.queue.size ?? 0
   }
 
-  /** The state of each upstream that was called or looked at, for the dump. */
+  /** State of each upstream that was called or considered, for the process dump. */
   describe (): readonly object[] {
     return this._pool.describe()
   }
@@ -129,50 +130,50 @@
   private _recordAnswer (slot: StageSlot, result: SlotResult, now: number): void {
     const name = slot.view.upstream.name
     this.latencies.record(slot.ticket.stageKey, name, now - slot.startedAt, now)
-    if (result.cachesPrefix === true) this.prefixes.record(name, slot.ticket.prefixKey, now)
+    if (result.cachesPrefix === true) this.prefixCaches.record(name, slot.ticket.prefixKey, now)
   }
 
   private _dispatch (roleName: string): void {
     const role = this._getRole(roleName)
-    if (this._options.dropsHopeless) this._dropHopeless(role)
-    const blocked = new Set<string>()
+    if (this._options.dropsHopeless) this._dropInfeasible(role)
+    const blockedModels = new Set<string>()
     for (const ticket of role.queue.list()) {
-      if (blocked.has(ticket.model) && ticket.tried.size === 0) continue
-      const outcome = this._place(ticket)
-      if (outcome === 'wait') blocked.add(ticket.model)
-      else this._settle(role, ticket, outcome)
+      if (blockedModels.has(ticket.model) && ticket.tried.size === 0) continue
+      const outcome = this._tryAssign(ticket)
+      if (outcome === 'wait') blockedModels.add(ticket.model)
+      else this._resolveTicket(role, ticket, outcome)
     }
   }
 
-  private _settle (role: RoleQueue, ticket: StageTicket, outcome: StageSlot | PepperwoodError): void {
+  private _resolveTicket (role: RoleQueue, ticket: StageTicket, outcome: StageSlot | PepperwoodError): void {
     const listener = role.listeners.get(ticket)
     role.queue.remove(ticket)
     role.listeners.delete(ticket)
     if (outcome instanceof PepperwoodError) return listener?.onRefused(outcome)
-    role.queue.recordServed(ticket, Math.max(MIN_SERVED_COST, this.latencies.getUsual(ticket.stageKey)))
+    role.queue.recordServed(ticket, Math.max(MIN_SERVED_COST_MS, this.latencies.getUsual(ticket.stageKey)))
     this._pool.getState(outcome.view.upstream.name).start(outcome, outcome.startedAt)
     listener?.onGranted(outcome)
   }
 
-  private _place (ticket: StageTicket): StageSlot | PepperwoodError | 'wait' {
+  private _tryAssign (ticket: StageTicket): StageSlot | PepperwoodError | 'wait' {
     const { clock, directory, hall, router } = this._options
     const found = this._pool.findFree(ticket)
     if (found.kind === 'none') {
       return new PepperwoodError({ name: 'upstreamNoneLeft', message: 'no upstream can run the stage', place: ticket.stageKey, value: ticket.role })
     }
     if (found.kind === 'full') return 'wait'
-    const request = { prefixKey: ticket.prefixKey, hall, usualMs: this.latencies.getUsual(ticket.stageKey), liveGates: directory.countLiveGates() }
+    const request = { prefixKey: ticket.prefixKey, hall, expectedMs: this.latencies.getUsual(ticket.stageKey), liveGateCount: directory.countLiveGates() }
     const choice = router.choose(request, found.views.map(view => this._pool.createCandidate(view, ticket)))
     const view = found.views.find(item => item.upstream.name === choice?.candidate.name)
     if (view === undefined || choice === undefined) return 'wait'
     return { ticket, view, reason: `${choice.reason}, report ${Math.round(choice.candidate.reportAgeMs)} ms old`, startedAt: clock.now() }
   }
 
-  private _dropHopeless (role: RoleQueue): void {
+  private _dropInfeasible (role: RoleQueue): void {
     const now = this._options.clock.now()
     for (const ticket of role.listeners.keys()) {
-      if (ticket.deadlineAt - now > this.latencies.getLow(ticket.stageKey)) continue
-      this._settle(role, ticket, new PepperwoodError({ name: 'deadlinePassed', message: 'no time is left for the stage', place: ticket.stageKey }))
+      if (ticket.deadlineAt - now > this.latencies.getLowMs(ticket.stageKey)) continue
+      this._resolveTicket(role, ticket, new PepperwoodError({ name: 'deadlinePassed', message: 'the stage cannot finish before the deadline', place: ticket.stageKey }))
     }
   }
 
--- a/src/services/scheduling/common/upstreamState.ts
+++ b/src/services/scheduling/common/upstreamState.ts
@@ -1,5 +1,5 @@
 /**
- * What this gate knows of one upstream from its own calls.
+ * What one gate knows about an upstream from its own calls.
  */
 import type { HealthTracker } from '../../health/common/healthTracker.ts'
 import type { ConcurrencyLimiter, LimiterInputs } from '../../limits/common/concurrencyLimiter.ts'
@@ -15,55 +15,55 @@
 const MAX_ENDED_CALLS = 128
 
 export class UpstreamState {
-  /** When each open call was started, by call. */
-  private readonly _open = new Map<object, number>()
-  private _ended: readonly EndedCall[] = []
+  /** Start time of each open call. */
+  private readonly _openCalls = new Map<object, number>()
+  private _endedCalls: readonly EndedCall[] = []
 
   constructor (readonly limiter: ConcurrencyLimiter, readonly health: HealthTracker) {}
 
   get inFlight (): number {
-    return this._open.size
+    return this._openCalls.size
   }
 
   start (call: object, now: number): void {
-    this._open.set(call, now)
+    this._openCalls.set(call, now)
   }
 
-  /** Ends a call; undefined when it had ended already, otherwise when it was started. */
+  /** Returns when the call was started, or undefined if it had already ended. */
   end (call: object, now: number): number | undefined {
-    const startedAt = this._open.get(call)
+    const startedAt = this._openCalls.get(call)
     if (startedAt === undefined) return undefined
-    this._open.delete(call)
-    this._ended = [...this._ended.slice(1 - MAX_ENDED_CALLS), { startedAt, endedAt: now }]
+    this._openCalls.delete(call)
+    this._endedCalls = [...this._endedCalls.slice(1 - MAX_ENDED_CALLS), { startedAt, endedAt: now }]
     return startedAt
   }
 
   countSentSince (at: number): number {
     let count = 0
-    for (const startedAt of this._open.values()) if (startedAt > at) count++
+    for (const startedAt of this._openCalls.values()) if (startedAt > at) count++
     return count
   }
 
-  /** Calls that were open at the moment and have ended since. */
-  countDoneSince (at: number): number {
-    return this._ended.filter(call => call.startedAt <= at && call.endedAt > at).length
+  /** Counts the calls that were open at the given time and have ended since; at most the last 128 ended calls are known. */
+  countEndedSince (at: number): number {
+    return this._endedCalls.filter(call => call.startedAt <= at && call.endedAt > at).length
   }
 
-  /** How many calls this gate may have open now. */
-  computeRoom (view: UpstreamView, liveGates: number, now: number, isPreferred: boolean): number {
-    this.limiter.updateCapacity(getCapacity(view), liveGates)
+  /** The number of calls that this gate may have open now; 1 while the upstream is being probed. */
+  computeCallLimit (view: UpstreamView, liveGateCount: number, now: number, isPreferred: boolean): number {
+    this.limiter.updateCapacity(getCapacity(view), liveGateCount)
     if (this.health.getState(now) === 'probing') return 1
-    return this.limiter.computeAllowedCalls({ ...this._createInputs(view, liveGates), isPreferred })
+    return this.limiter.computeAllowedCalls({ ...this._createRoomInputs(view, liveGateCount), isPreferred })
   }
 
-  /** This gate's part of the upstream, in calls. */
-  computePart (view: UpstreamView, liveGates: number): number {
-    this.limiter.updateCapacity(getCapacity(view), liveGates)
-    return this.limiter.computeShare(this._createInputs(view, liveGates))
+  /** This gate's share of the upstream, in calls; may be fractional. */
+  computeShare (view: UpstreamView, liveGateCount: number): number {
+    this.limiter.updateCapacity(getCapacity(view), liveGateCount)
+    return this.limiter.computeShare(this._createRoomInputs(view, liveGateCount))
   }
 
-  private _createInputs (view: UpstreamView, liveGates: number): LimiterInputs {
-    return { inFlight: this.inFlight, backlog: estimateBacklog(this.describeBacklog(view), liveGates) }
+  private _createRoomInputs (view: UpstreamView, liveGateCount: number): LimiterInputs {
+    return { inFlight: this.inFlight, backlog: estimateBacklog(this.describeBacklog(view), liveGateCount) }
   }
 
   describeBacklog (view: UpstreamView): BacklogInputs {
@@ -71,14 +71,14 @@
       reportedBacklog: (view.load?.running ?? 0) + (view.load?.queued ?? 0),
       ownInFlight: this.inFlight,
       ownSentSinceReport: this.countSentSince(view.reportedAt),
-      ownDoneSinceReport: this.countDoneSince(view.reportedAt)
+      ownDoneSinceReport: this.countEndedSince(view.reportedAt)
     }
   }
 }
 
 const DEFAULT_CONCURRENCY = 8
 
-/** Calls that an upstream takes at once: its own word, or the configuration's. */
+/** Number of calls that an upstream runs concurrently, as it reported or else as configured. */
 export function getCapacity (view: UpstreamView): number {
   const configured = view.upstream.concurrency
   return view.load?.capacity || (configured === 0 ? DEFAULT_CONCURRENCY : configured)
--- a/src/services/scheduling/test/upstreamScheduler.test.ts
+++ b/src/services/scheduling/test/upstreamScheduler.test.ts
@@ -45,7 +45,7 @@
 
 type Scheduler = ReturnType<typeof createScheduler>
 
-/** Releases the newest grant until nothing waits, and tells the order in which requests were served. */
+/** Releases slots in the order in which they were granted until none is open, and returns the order in which requests were served. */
 function serveAll ({ scheduler, granted, listOrder }: Scheduler): readonly string[] {
   for (let index = 0; index < granted.length; index++) scheduler.release(granted[index] as StageSlot, { kind: 'answered' })
   return listOrder()
@@ -58,7 +58,7 @@
   assert.is(fixture.scheduler.countWaiting('r'), 2)
 })
 
-test('a slot that is released twice is free once', () => {
+test('releasing a slot twice frees it only once', () => {
   const fixture = createScheduler(['a'])
   for (let index = 0; index < 4; index++) fixture.ask()
   const [slot] = fixture.granted
@@ -68,7 +68,7 @@
   assert.is(fixture.granted.length, 2)
 })
 
-test('priority goes first, then the earliest deadline of a customer', () => {
+test('higher priority is served first, then the earliest deadline within a customer', () => {
   const fixture = createScheduler(['a'])
   fixture.ask({ requestId: 'first' })
   fixture.ask({ requestId: 'late', deadlineAt: 9000 })
@@ -77,7 +77,7 @@
   assert.equal(serveAll(fixture), ['first', 'urgent', 'early', 'late'])
 })
 
-test('a flood of one customer does not keep another waiting for more than a turn', () => {
+test('a burst from one customer delays another customer by at most one turn', () => {
   const fixture = createScheduler(['a'])
   for (let index = 0; index < 10; index++) fixture.ask({ requestId: `large${index}`, customer: 'large' })
   fixture.ask({ requestId: 'small', customer: 'small' })
@@ -88,7 +88,7 @@
   assert.is(serveAll(fifo).indexOf('small'), 10)
 })
 
-test('a customer of twice the weight gets twice the turns', () => {
+test('a customer with twice the weight is served twice as often', () => {
   const fixture = createScheduler(['a'])
   fixture.ask({ requestId: 'first', customer: 'x' })
   for (let index = 0; index < 30; index++) {
@@ -99,7 +99,7 @@
   assert.is(served.filter(name => name === 'two').length, 20)
 })
 
-test('hopeless work leaves the queue before it costs', () => {
+test('a queued stage that has passed its deadline is refused without a call', () => {
   const fixture = createScheduler(['a'])
   fixture.ask()
   fixture.ask({ deadlineAt: 100 })
@@ -108,7 +108,7 @@
   assert.equal(fixture.refused, ['deadlinePassed'])
 })
 
-test('a call that even the quickest calls would not finish in time is not begun', () => {
+test('a call is not started if even the fastest calls take longer than the time left', () => {
   const fixture = createScheduler(['a'])
   for (let round = 0; round < 5; round++) {
     fixture.ask()
@@ -128,7 +128,7 @@
   assert.equal(serveAll(fixture), ['first'])
 })
 
-test('a leaving upstream is not chosen, even when it is the only one', () => {
+test('a leaving upstream is not chosen, even if it is the only one', () => {
   const fixture = createScheduler(['a', 'b'], 4)
   markLeaving(fixture.facts, 'a', 0, 'test')
   for (let index = 0; index < 3; index++) fixture.ask()
@@ -138,7 +138,7 @@
   assert.equal(fixture.refused, ['upstreamNoneLeft'])
 })
 
-test('a failing upstream is ejected, probed with one call, and comes back', () => {
+test('a failing upstream is ejected, then probed with one call', () => {
   const fixture = createScheduler(['a', 'b', 'c'], 8)
   const releaseAll = (name: string) => {
     for (const slot of fixture.granted.splice(0)) fixture.scheduler.release(slot, { kind: slot.view.upstream.name === name ? 'failed' : 'answered' })
@@ -155,7 +155,7 @@
   assert.is(fixture.granted.filter(slot => slot.view.upstream.name === 'a').length, 1, 'one probe')
 })
 
-test('no more than half of a role is ejected', () => {
+test('at most half of the upstreams of a role are ejected', () => {
   const fixture = createScheduler(['a', 'b', 'c', 'd'], 8)
   for (let round = 0; round < 20; round++) {
     for (let index = 0; index < 8; index++) fixture.ask()
