--- a/src/services/pipeline/common/outcomeDecision.ts
+++ b/src/services/pipeline/common/outcomeDecision.ts
@@ -1,50 +1,50 @@
 /**
- * What follows when an attempt brought no result.
+ * Decides how a stage continues after an attempt that produced no result: resume, requeue, retry or fail.
  */
 import type { UpstreamOutcome } from '../../upstream/common/upstreamAdapter.ts'
 
 export interface OutcomeInputs {
   readonly outcome: Exclude<UpstreamOutcome, { readonly kind: 'answered' }>
-  /** The stage must not be sent twice. */
+  /** The stage must not run more than once. */
   readonly isUnrepeatable: boolean
-  /** The upstream can hand out the rest of a stream that broke. */
+  /** The upstream can resume an interrupted stream from an offset. */
   readonly canResume: boolean
-  /** How often this attempt was resumed already. */
-  readonly resumes: number
+  /** How often this attempt has already been resumed. */
+  readonly resumeCount: number
   readonly timeLeftMs: number
-  /** Attempts of the stage so far. */
-  readonly attempts: number
+  /** Number of attempts of the stage so far, including this one. */
+  readonly attemptCount: number
 }
 
 export type OutcomeDecision =
   | { readonly kind: 'resume' }
-  /** The upstream was full, leaving or not to be reached, and ran nothing: back into the queue, which costs little. */
+  /** The upstream was at capacity, leaving or unreachable and ran nothing. The stage is queued again, which is cheap and takes nothing from the retry budget. */
   | { readonly kind: 'queue', readonly waitMs: number }
-  /** One more attempt, if the retry budget consents. */
+  /** Another attempt, if the retry budget allows it. */
   | { readonly kind: 'again' }
   | { readonly kind: 'giveUp', readonly reason: 'outcomeUnknown' | 'stageFailed' | 'noTime' }
 
 const MAX_RESUMES = 2
 /**
- * An upstream that is busy answers within this. An attempt that the deadline cuts off leaves the caller of an unrepeatable
- * request not knowing whether it ran, so after a refusal none is begun this late.
+ * No further attempt starts with less time left than this. A busy upstream answers within this time. If the deadline
+ * interrupts an attempt of an unrepeatable request, the caller cannot know whether the request ran.
  */
 const MIN_TIME_LEFT_MS = 50
-const FIRST_BACKOFF_MS = 10
+const INITIAL_BACKOFF_MS = 10
 const MAX_BACKOFF_MS = 250
-const MAX_DOUBLINGS = 10
+const MAX_BACKOFF_DOUBLINGS = 10
 
-/** Doubles with each attempt, and never takes more than a quarter of the time left. */
-function computeBackoff (inputs: OutcomeInputs): number {
-  const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** Math.min(inputs.attempts, MAX_DOUBLINGS))
+/** Returns an exponential backoff of at most a quarter of the time left. */
+function computeBackoffMs (inputs: OutcomeInputs): number {
+  const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(inputs.attemptCount, MAX_BACKOFF_DOUBLINGS))
   return Math.min(backoffMs, inputs.timeLeftMs / 4)
 }
 
 export function decideAfterOutcome (inputs: OutcomeInputs): OutcomeDecision {
   const { outcome } = inputs
   if (inputs.timeLeftMs < MIN_TIME_LEFT_MS) return { kind: 'giveUp', reason: 'noTime' }
-  if (outcome.kind === 'lost' && inputs.canResume && inputs.resumes < MAX_RESUMES) return { kind: 'resume' }
-  if (outcome.kind === 'notRun') return { kind: 'queue', waitMs: computeBackoff(inputs) }
+  if (outcome.kind === 'lost' && inputs.canResume && inputs.resumeCount < MAX_RESUMES) return { kind: 'resume' }
+  if (outcome.kind === 'notRun') return { kind: 'queue', waitMs: computeBackoffMs(inputs) }
   if (!inputs.isUnrepeatable) return { kind: 'again' }
   return { kind: 'giveUp', reason: outcome.kind === 'failed' ? 'stageFailed' : 'outcomeUnknown' }
 }
--- a/src/services/pipeline/common/requestPlan.ts
+++ b/src/services/pipeline/common/requestPlan.ts
@@ -1,5 +1,5 @@
 /**
- * A request that was taken in, with the configuration it began under.
+ * An accepted request and the part of the configuration that applies to it until it ends.
  */
 import type { Pipeline, Stage } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { hashText } from '../../../base/common/rendezvous.ts'
@@ -8,23 +8,23 @@
   readonly requestId: string
   readonly customer: string
   readonly customerWeight: number
-  /** As pinned when the request was taken in. */
+  /** The pipeline of the configuration that was in effect when the request was accepted. Later configurations do not change it. */
   readonly pipeline: Pipeline
   readonly input: string
   readonly contentDigest: string
   readonly prefixKey: string
   readonly isUnrepeatable: boolean
-  /** On this process's clock. */
+  /** On this process's clock, in milliseconds. */
   readonly deadlineAt: number
-  /** Stages finished before, and the result of the last of them. */
+  /** Stages that an earlier run finished, as stated by its checkpoint. The result is that of the last of these stages. */
   readonly stagesDone: number
   readonly result: string
 }
 
-/** Prompts that share so many characters at the start share their cached prefix. */
+/** Number of leading characters in which prompts must agree to count as sharing a cached prefix. */
 const PREFIX_LENGTH = 64
 
-/** The key under which requests with a shared beginning meet; customers never share one. */
+/** Returns a key that requests of the same customer with the same start of the input share. Different customers never share a key. */
 export function derivePrefixKey (customer: string, input: string): string {
   return hashText(`${customer}\u0000${input.slice(0, PREFIX_LENGTH)}`).toString(16)
 }
@@ -33,7 +33,7 @@
   return `${pipeline.name}/${stage.name}`
 }
 
-/** Whether sending the stage a second time could do harm. */
+/** Returns whether the stage must not run more than once, because the request or the stage is marked as unrepeatable. */
 export function isStageUnrepeatable (plan: Pick<RequestPlan, 'isUnrepeatable'>, stage: Stage): boolean {
   return plan.isUnrepeatable || stage.unrepeatable
 }
--- a/src/services/pipeline/node/attemptRunner.ts
+++ b/src/services/pipeline/node/attemptRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Sends one attempt to one upstream and gives it up when it stays silent for too long.
+ * Sends one attempt to one upstream and aborts it if no data is received within the silence timeout.
  */
 import { Effect } from 'effect'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -11,69 +11,69 @@
   readonly adapter: UpstreamAdapter
 }
 
-/** An outcome, and whether it was this side that gave up. */
+/** The outcome of an attempt, and whether this process aborted it after the silence timeout. */
 export interface AttemptResult {
   readonly outcome: UpstreamOutcome
-  readonly gaveUp: boolean
+  readonly isTimedOut: boolean
 }
 
-/** Runs the call; on interruption the upstream is told to stop what was sent. */
-export function runAttempt (options: AttemptRunnerOptions, call: Omit<UpstreamCall, 'signal'>, maxSilenceMs: number): Effect.Effect<AttemptResult> {
+/** Runs the call. On interruption or timeout the call is aborted and, if it was sent, a cancel request goes to the upstream. */
+export function runAttempt (options: AttemptRunnerOptions, call: Omit<UpstreamCall, 'signal'>, silenceTimeoutMs: number): Effect.Effect<AttemptResult> {
   const { adapter, clock } = options
   return Effect.async<AttemptResult>(resume => {
     const abort = new AbortController()
-    let wasSent = false
-    let lastHeardAt = clock.now()
-    let isOver = false
-    const end = (outcome: UpstreamOutcome, gaveUp: boolean) => {
-      if (isOver) return
-      isOver = true
+    let isSent = false
+    let lastReceivedAt = clock.now()
+    let isCompleted = false
+    const complete = (outcome: UpstreamOutcome, isTimedOut: boolean) => {
+      if (isCompleted) return
+      isCompleted = true
       timer.dispose()
-      resume(Effect.succeed({ outcome, gaveUp }))
+      resume(Effect.succeed({ outcome, isTimedOut }))
     }
-    const stop = () => {
+    const cancelCall = () => {
       abort.abort()
-      if (wasSent) adapter.cancel(call.upstream, call.attemptId).catch(() => {})
+      if (isSent) adapter.cancel(call.upstream, call.attemptId).catch(() => {})
     }
     const checkSilence = () => {
-      const silentMs = clock.now() - lastHeardAt
-      if (silentMs < maxSilenceMs) {
-        timer = clock.schedule(maxSilenceMs - silentMs, checkSilence)
+      const silenceMs = clock.now() - lastReceivedAt
+      if (silenceMs < silenceTimeoutMs) {
+        timer = clock.schedule(silenceTimeoutMs - silenceMs, checkSilence)
         return
       }
-      stop()
-      end({ kind: 'lost', error: createSilent(call, maxSilenceMs) }, true)
+      cancelCall()
+      complete({ kind: 'lost', error: createSilenceTimeoutError(call, silenceTimeoutMs) }, true)
     }
-    let timer = clock.schedule(maxSilenceMs, checkSilence)
+    let timer = clock.schedule(silenceTimeoutMs, checkSilence)
     adapter.call({
       ...call,
       signal: abort.signal,
       onWillSend: () => {
-        if (isOver || !call.onWillSend()) return false
-        wasSent = true
+        if (isCompleted || !call.onWillSend()) return false
+        isSent = true
         return true
       },
       onDidReceiveText: (text, index) => {
-        lastHeardAt = clock.now()
-        if (!isOver) call.onDidReceiveText(text, index)
+        lastReceivedAt = clock.now()
+        if (!isCompleted) call.onDidReceiveText(text, index)
       }
     }).then(
-      outcome => end(outcome, false),
-      thrown => end({ kind: 'lost', error: new PepperwoodError({ name: 'internal', message: String(thrown), place: call.upstream.name }) }, false)
+      outcome => complete(outcome, false),
+      thrown => complete({ kind: 'lost', error: new PepperwoodError({ name: 'internal', message: String(thrown), place: call.upstream.name }) }, false)
     )
     return Effect.sync(() => {
-      if (isOver) return
-      isOver = true
+      if (isCompleted) return
+      isCompleted = true
       timer.dispose()
-      stop()
+      cancelCall()
     })
   })
 }
 
-function createSilent (call: Pick<UpstreamCall, 'upstream'>, maxSilenceMs: number): PepperwoodError {
+function createSilenceTimeoutError (call: Pick<UpstreamCall, 'upstream'>, silenceTimeoutMs: number): PepperwoodError {
   return new PepperwoodError({
     name: 'upstreamConnectionLost',
-    message: `nothing came for ${Math.round(maxSilenceMs)} ms`,
+    message: `no data received for ${Math.round(silenceTimeoutMs)} ms`,
     place: call.upstream.name
   })
 }
--- a/src/services/pipeline/node/requestRunner.ts
+++ b/src/services/pipeline/node/requestRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a request through all stages of its pipeline under one deadline and ends its run, whatever happens.
+ * Runs a request through all stages of its pipeline under one deadline. The run is finished in every case, including an unexpected error.
  */
 import { create } from '@bufbuild/protobuf'
 import { Cause, Effect, Exit } from 'effect'
@@ -11,7 +11,7 @@
 import type { CommittedWork } from '../../admission/common/committedWork.ts'
 import type { DecisionLog } from '../../inspect/common/decisionLog.ts'
 import { PepperwoodError, toPepperwoodError } from '../../result/common/pepperwoodError.ts'
-import { decideExecution } from '../../session/common/attemptLog.ts'
+import { deriveExecutionState } from '../../session/common/attemptLog.ts'
 import type { Attempt } from '../../session/common/attemptLog.ts'
 import type { RequestRun, RunEnd } from '../../session/common/requestRun.ts'
 import type { CheckpointSeal } from '../../session/node/checkpointSeal.ts'
@@ -27,12 +27,12 @@
   readonly committed: CommittedWork
   readonly seal: CheckpointSeal
   readonly decisions: DecisionLog
-  /** Text that comes within this time of the last chunk goes into one chunk. */
+  /** Text received within this time after the last chunk is collected into one chunk. */
   readonly chunkIntervalMs?: number
 }
 
 export interface IRequestRunner {
-  /** Resolves when the run has ended; never rejects. */
+  /** Resolves when the run has finished; never rejects. */
   run (plan: RequestPlan, run: RequestRun): Promise<void>
 }
 
@@ -40,9 +40,9 @@
   constructor (private readonly _options: RequestRunnerOptions) {}
 
   async run (plan: RequestPlan, run: RequestRun): Promise<void> {
-    const open = plan.pipeline.stages.slice(plan.stagesDone).map(stage => stage.role)
+    const unfinishedRoles = plan.pipeline.stages.slice(plan.stagesDone).map(stage => stage.role)
     this._addCommitted(plan)
-    const program = this._runStages(plan, run, open).pipe(
+    const program = this._runStages(plan, run, unfinishedRoles).pipe(
       Effect.timeoutFail({
         duration: Math.max(0, plan.deadlineAt - this._options.clock.now()),
         onTimeout: () => new StageFailure({ error: new PepperwoodError({ name: 'deadlinePassed', message: 'the deadline has passed' }), retryAfterMs: 0 })
@@ -50,19 +50,19 @@
       Effect.withClock(createEffectClock(this._options.clock))
     )
     const exit = await Effect.runPromiseExit(program, { signal: run.abort.signal })
-    for (const role of open) this._options.committed.remove(role, plan.customer, plan.pipeline.priority)
-    this._finish(run, exit)
+    for (const role of unfinishedRoles) this._options.committed.remove(role, plan.customer, plan.pipeline.priority)
+    this._finishRun(run, exit)
   }
 
   private _addCommitted (plan: RequestPlan): void {
     const { customer, customerWeight: weight, pipeline } = plan
     for (const stage of pipeline.stages.slice(plan.stagesDone)) {
-      const usualMs = this._options.stages.getUsualMs(formatStageKey(pipeline, stage))
+      const usualMs = this._options.stages.getTypicalLatencyMs(formatStageKey(pipeline, stage))
       this._options.committed.add({ role: stage.role, customer, weight, priority: pipeline.priority, usualMs })
     }
   }
 
-  private _runStages (plan: RequestPlan, run: RequestRun, open: string[]): Effect.Effect<void, StageFailure> {
+  private _runStages (plan: RequestPlan, run: RequestRun, unfinishedRoles: string[]): Effect.Effect<void, StageFailure> {
     return Effect.gen(this, function * () {
       let previous = plan.result
       const chunks = new ChunkBuffer(this._options.clock, this._options.chunkIntervalMs ?? 0, text => run.addChunk(text))
@@ -80,15 +80,15 @@
           onDidReceiveText: text => { if (isLast) chunks.add(text) }
         })
         if (isLast) chunks.flush()
-        open.shift()
+        unfinishedRoles.shift()
         this._options.committed.remove(stage.role, plan.customer, plan.pipeline.priority)
-        if (!isLast) this._giveCheckpoint(plan, run, stageIndex + 1, previous)
+        if (!isLast) this._publishCheckpoint(plan, run, stageIndex + 1, previous)
       }
     })
   }
 
-  /** A checkpoint continues repeatable work only: what comes next may already have been sent. */
-  private _giveCheckpoint (plan: RequestPlan, run: RequestRun, stagesDone: number, result: string): void {
+  /** Only requests without unrepeatable stages get a checkpoint: the next stage may already have been sent when a caller resumes from it. */
+  private _publishCheckpoint (plan: RequestPlan, run: RequestRun, stagesDone: number, result: string): void {
     const stages = plan.pipeline.stages
     if (stages.some(stage => isStageUnrepeatable(plan, stage))) return
     const sealed = this._options.seal.seal({
@@ -102,14 +102,14 @@
     if (sealed !== undefined) run.setCheckpoint({ sealed, stagesDone })
   }
 
-  private _finish (run: RequestRun, exit: Exit.Exit<void, StageFailure>): void {
+  private _finishRun (run: RequestRun, exit: Exit.Exit<void, StageFailure>): void {
     const costs = sumCosts(run.attemptLog.attempts)
-    const end: RunEnd = Exit.isSuccess(exit)
+    const outcome: RunEnd = Exit.isSuccess(exit)
       ? { kind: 'whole', digest: hashSha256(run.chunks.join('')), costs }
-      : { kind: 'refused', ...explainFailure(exit.cause), execution: decideExecution(run.attemptLog.attempts), gates: [], costs }
-    run.finish(end)
-    const choice = end.kind === 'whole' ? 'whole' : end.error.resultName
-    const reason = end.kind === 'whole' ? `${run.chunks.length} chunks` : end.error.message
+      : { kind: 'refused', ...convertFailure(exit.cause), execution: deriveExecutionState(run.attemptLog.attempts), gates: [], costs }
+    run.finish(outcome)
+    const choice = outcome.kind === 'whole' ? 'whole' : outcome.error.resultName
+    const reason = outcome.kind === 'whole' ? `${run.chunks.length} chunks` : outcome.error.message
     this._options.decisions.record({
       subject: run.requestId,
       kind: 'end',
@@ -120,14 +120,14 @@
   }
 }
 
-function explainFailure (cause: Cause.Cause<StageFailure>): { readonly error: PepperwoodError, readonly retryAfterMs: number } {
+function convertFailure (cause: Cause.Cause<StageFailure>): { readonly error: PepperwoodError, readonly retryAfterMs: number } {
   const failure = Cause.failureOption(cause)
   if (failure._tag === 'Some') return { error: failure.value.error, retryAfterMs: failure.value.retryAfterMs }
   if (Cause.isInterruptedOnly(cause)) return { error: new PepperwoodError({ name: 'cancelled', message: 'the caller cancelled the request' }), retryAfterMs: 0 }
   return { error: toPepperwoodError(Cause.squash(cause)), retryAfterMs: 0 }
 }
 
-/** Cost by stage, over all attempts. */
+/** Returns the cost of each stage, summed over all of its attempts. */
 function sumCosts (attempts: readonly Attempt[]): readonly StageCost[] {
   const costs = new Map<string, StageCost>()
   for (const attempt of attempts) {
--- a/src/services/pipeline/node/stageFailure.ts
+++ b/src/services/pipeline/node/stageFailure.ts
@@ -1,5 +1,5 @@
 /**
- * Why a request ended without a whole answer.
+ * The failure of a stage that ends its request without a whole answer.
  */
 import { Data } from 'effect'
 import type { PepperwoodError } from '../../result/common/pepperwoodError.ts'
--- a/src/services/pipeline/node/stageRunner.ts
+++ b/src/services/pipeline/node/stageRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one stage of one request: asks for an upstream, sends an attempt, and resumes, repeats or gives up.
+ * Runs one stage of one request: acquires a slot at an upstream, sends an attempt, and then resumes it, retries the stage or fails.
  */
 import { Effect } from 'effect'
 import type { IClock } from '../../../base/common/clock.ts'
@@ -13,7 +13,7 @@
 import { canSendAgain } from '../../session/common/attemptLog.ts'
 import type { RequestRun } from '../../session/common/requestRun.ts'
 import type { UpstreamAdapter, UpstreamOutcome } from '../../upstream/common/upstreamAdapter.ts'
-import { computeMaxSilence } from '../common/attemptLimits.ts'
+import { computeSilenceTimeoutMs } from '../common/silenceTimeout.ts'
 import { decideAfterOutcome } from '../common/outcomeDecision.ts'
 import { formatStageKey, isStageUnrepeatable } from '../common/requestPlan.ts'
 import type { RequestPlan } from '../common/requestPlan.ts'
@@ -21,18 +21,16 @@
 import type { AttemptResult } from './attemptRunner.ts'
 import { StageFailure } from './stageFailure.ts'
 
-/** What the stage runner works with. */
 export interface StageRunnerOptions {
   readonly clock: IClock
   readonly adapter: UpstreamAdapter
   readonly scheduler: UpstreamScheduler
   readonly retries: RetryPolicy
   readonly decisions: DecisionLog
-  /** False while the process may not send new work, such as after a pause until it has read anew. */
+  /** False while the process must not send new work, for example after a pause until it has refreshed its state. */
   readonly maySend: () => boolean
-  /** Waits until the process may send again. */
   readonly waitUntilMaySend: () => Promise<void>
-  /** An upstream said that this incarnation of it is leaving. */
+  /** The upstream reported that this incarnation of it is leaving. */
   readonly onDidSeeLeaving: (upstream: string, incarnation: number) => void
   readonly onDidEndAttempt: (attempt: EndedAttempt) => void
 }
@@ -45,32 +43,35 @@
   readonly elapsedMs: number
 }
 
-/** One stage of one request. */
+/** The execution of one stage of one request. */
 export interface StageJob {
   readonly plan: RequestPlan
   readonly run: RequestRun
   readonly stage: Stage
   readonly stageIndex: number
+  /** The result of the previous stage; empty for the first. */
   readonly previous: string
   readonly onDidReceiveText: (text: string) => void
 }
 
-/** What is carried from attempt to attempt. */
+/** State that is carried over from one attempt of a stage to the next. */
 class StageProgress {
-  attempts = 0
-  readonly produced: string[] = []
-  readonly tried = new Set<string>()
+  attemptCount = 0
+  /** Texts received so far; from an engine, one per token. */
+  readonly receivedTexts: string[] = []
+  /** Names of the upstreams of all earlier attempts. */
+  readonly triedUpstreams = new Set<string>()
 }
 
 export class StageRunner {
   constructor (private readonly _options: StageRunnerOptions) {}
 
-  /** What a stage of this kind usually takes, in milliseconds. */
-  getUsualMs (stageKey: string): number {
+  /** Returns the average latency of the stage over all requests. */
+  getTypicalLatencyMs (stageKey: string): number {
     return this._options.scheduler.latencies.getUsual(stageKey)
   }
 
-  /** The stage's whole result. */
+  /** Returns the whole result of the stage. */
   run (job: StageJob): Effect.Effect<string, StageFailure> {
     const progress = new StageProgress()
     this._options.retries.recordFirstAttempt(job.stage.role)
@@ -82,9 +83,9 @@
       while (true) {
         yield * Effect.promise(() => this._options.waitUntilMaySend())
         const slot = yield * this._acquire(this._createTicket(job, progress))
-        const outcome = yield * this._useSlot(job, slot, progress)
-        if (outcome.kind === 'answered') return progress.produced.join('')
-        yield * this._prepareNext(job, slot, outcome, progress)
+        const outcome = yield * this._runOnSlot(job, slot, progress)
+        if (outcome.kind === 'answered') return progress.receivedTexts.join('')
+        yield * this._prepareRetry(job, slot, outcome, progress)
       }
     })
   }
@@ -101,7 +102,7 @@
       stageKey: formatStageKey(plan.pipeline, stage),
       model: stage.model,
       prefixKey: plan.prefixKey,
-      tried: progress.tried
+      tried: progress.triedUpstreams
     }
   }
 
@@ -116,52 +117,52 @@
     })
   }
 
-  private _useSlot (job: StageJob, slot: StageSlot, progress: StageProgress): Effect.Effect<UpstreamOutcome> {
+  private _runOnSlot (job: StageJob, slot: StageSlot, progress: StageProgress): Effect.Effect<UpstreamOutcome> {
     const { clock, scheduler } = this._options
-    const attemptId = `${job.plan.requestId}/${job.stageIndex}/${++progress.attempts}`
+    const attemptId = `${job.plan.requestId}/${job.stageIndex}/${++progress.attemptCount}`
     const upstream = slot.view.upstream
     const isUnrepeatable = isStageUnrepeatable(job.plan, job.stage)
     const log = job.run.attemptLog
     log.prepare({ attemptId, stageIndex: job.stageIndex, stage: job.stage.name, upstream: upstream.name, isUnrepeatable }, clock.now())
-    this._decide(job, 'route', upstream.name, slot.reason, `stage=${job.stage.name} attempt=${progress.attempts}`)
+    this._recordDecision(job, 'route', upstream.name, slot.reason, `stage=${job.stage.name} attempt=${progress.attemptCount}`)
     const release = (result: SlotResult) => Effect.sync(() => scheduler.release(slot, result))
-    return this._follow(job, slot, attemptId, progress).pipe(
-      Effect.tap(({ outcome, gaveUp }) => this._recordOutcome(job, slot, attemptId, outcome, progress).pipe(
-        Effect.zipRight(release(describeSlotResult(outcome, gaveUp, upstream.kind === UpstreamKind.ENGINE)))
+    return this._runWithResumes(job, slot, attemptId, progress).pipe(
+      Effect.tap(({ outcome, isTimedOut }) => this._recordOutcome(job, slot, attemptId, outcome, progress).pipe(
+        Effect.zipRight(release(convertToSlotResult(outcome, isTimedOut, upstream.kind === UpstreamKind.ENGINE)))
       )),
       Effect.map(result => result.outcome),
       Effect.onInterrupt(() => release({ kind: 'abandoned' }))
     )
   }
 
-  /** Follows an attempt over broken streams, as long as its engine can hand out the rest. */
-  private _follow (job: StageJob, slot: StageSlot, attemptId: string, progress: StageProgress): Effect.Effect<AttemptResult> {
+  /** Runs an attempt and resumes it after each interruption of its stream, as long as its engine can send the remaining tokens. */
+  private _runWithResumes (job: StageJob, slot: StageSlot, attemptId: string, progress: StageProgress): Effect.Effect<AttemptResult> {
     return Effect.gen(this, function * () {
-      for (let resumes = 0; ; resumes++) {
-        const called = yield * this._call(job, slot, attemptId, progress, resumes > 0)
-        const result = resumes > 0 ? keepSent(called) : called
+      for (let resumeCount = 0; ; resumeCount++) {
+        const attemptResult = yield * this._runCall(job, slot, attemptId, progress, resumeCount > 0)
+        const result = resumeCount > 0 ? convertNotRunToLost(attemptResult) : attemptResult
         if (result.outcome.kind === 'answered') return result
         const decision = decideAfterOutcome({
           outcome: result.outcome,
           isUnrepeatable: true,
-          canResume: slot.view.upstream.kind === UpstreamKind.ENGINE && !result.gaveUp && isSent(job.run, attemptId),
-          resumes,
-          attempts: progress.attempts,
+          canResume: slot.view.upstream.kind === UpstreamKind.ENGINE && !result.isTimedOut && isAttemptSent(job.run, attemptId),
+          resumeCount,
+          attemptCount: progress.attemptCount,
           timeLeftMs: job.plan.deadlineAt - this._options.clock.now()
         })
         if (decision.kind !== 'resume') return result
-        this._decide(job, 'resume', slot.view.upstream.name, result.outcome.error.message, `token=${progress.produced.length}`)
+        this._recordDecision(job, 'resume', slot.view.upstream.name, result.outcome.error.message, `token=${progress.receivedTexts.length}`)
       }
     })
   }
 
-  private _call (job: StageJob, slot: StageSlot, attemptId: string, progress: StageProgress, isResume: boolean): Effect.Effect<AttemptResult> {
+  private _runCall (job: StageJob, slot: StageSlot, attemptId: string, progress: StageProgress, isResume: boolean): Effect.Effect<AttemptResult> {
     const { clock, adapter, scheduler } = this._options
     const { plan, stage, run } = job
     const isUnrepeatable = isStageUnrepeatable(plan, stage)
     const timeLeftMs = Math.max(1, Math.round(plan.deadlineAt - clock.now()))
-    const highMs = scheduler.latencies.getHigh(formatStageKey(plan.pipeline, stage))
-    const offset = slot.view.upstream.kind === UpstreamKind.ENGINE ? progress.produced.length : 0
+    const highLatencyMs = scheduler.latencies.getHigh(formatStageKey(plan.pipeline, stage))
+    const offset = slot.view.upstream.kind === UpstreamKind.ENGINE ? progress.receivedTexts.length : 0
     return runAttempt({ clock, adapter }, {
       upstream: slot.view.upstream,
       attemptId,
@@ -174,20 +175,20 @@
       priority: plan.pipeline.priority,
       timeLeftMs,
       offset,
-      produced: offset > 0 && !isResume ? progress.produced.join('') : '',
+      produced: offset > 0 && !isResume ? progress.receivedTexts.join('') : '',
       isResume,
       isUnrepeatable,
-      onWillSend: () => this._markSent(job, attemptId, isResume),
+      onWillSend: () => this._tryMarkSent(job, attemptId, isResume),
       onDidReceiveText: text => {
         if (run.end !== undefined) return
-        progress.produced.push(text)
+        progress.receivedTexts.push(text)
         job.onDidReceiveText(text)
       }
-    }, computeMaxSilence({ timeLeftMs, highMs, isUnrepeatable }))
+    }, computeSilenceTimeoutMs({ timeLeftMs, highLatencyMs, isUnrepeatable }))
   }
 
-  /** The last moment before a byte is written: the log says `sent` from here on. */
-  private _markSent (job: StageJob, attemptId: string, isResume: boolean): boolean {
+  /** Called before the first byte is written. Returns false if the call must not be sent; otherwise the attempt counts as `sent` from here on. */
+  private _tryMarkSent (job: StageJob, attemptId: string, isResume: boolean): boolean {
     const now = this._options.clock.now()
     if (!this._options.maySend() || now >= job.plan.deadlineAt || job.run.end !== undefined) return false
     if (!isResume) job.run.attemptLog.update(attemptId, 'sent', now)
@@ -204,57 +205,57 @@
       else if (outcome.kind === 'failed') log.update(attemptId, 'ran', now, outcome.busyMs)
       else if (outcome.kind === 'notRun') log.update(attemptId, 'notRun', now)
       if (outcome.kind === 'notRun' && outcome.isLeaving) onDidSeeLeaving(upstream, outcome.incarnation || slot.view.incarnation)
-      if (outcome.kind !== 'answered') this._decide(job, 'outcome', outcome.kind, outcome.error.toString(), `upstream=${upstream}`)
-      onDidEndAttempt({ role: job.stage.role, upstream, kind: outcome.kind, isRetry: progress.attempts > 1, elapsedMs: now - slot.startedAt })
+      if (outcome.kind !== 'answered') this._recordDecision(job, 'outcome', outcome.kind, outcome.error.toString(), `upstream=${upstream}`)
+      onDidEndAttempt({ role: job.stage.role, upstream, kind: outcome.kind, isRetry: progress.attemptCount > 1, elapsedMs: now - slot.startedAt })
     })
   }
 
-  /** Returns when the stage may be sent again; fails when it may not. */
-  private _prepareNext (job: StageJob, slot: StageSlot, outcome: Exclude<UpstreamOutcome, { readonly kind: 'answered' }>, progress: StageProgress): Effect.Effect<void, StageFailure> {
+  /** Succeeds when the stage may be sent again; fails if it must not be. */
+  private _prepareRetry (job: StageJob, slot: StageSlot, outcome: Exclude<UpstreamOutcome, { readonly kind: 'answered' }>, progress: StageProgress): Effect.Effect<void, StageFailure> {
     const { clock, retries } = this._options
-    progress.tried.add(slot.view.upstream.name)
+    progress.triedUpstreams.add(slot.view.upstream.name)
     const decision = decideAfterOutcome({
       outcome,
       isUnrepeatable: !canSendAgain(job.run.attemptLog.attempts, job.stageIndex),
       canResume: false,
-      resumes: 0,
-      attempts: progress.attempts,
+      resumeCount: 0,
+      attemptCount: progress.attemptCount,
       timeLeftMs: job.plan.deadlineAt - clock.now()
     })
     if (decision.kind === 'queue') return Effect.sleep(decision.waitMs)
-    if (decision.kind !== 'again') return Effect.fail(createFailure(job, outcome.error, decision.kind === 'giveUp' ? decision.reason : 'stageFailed'))
+    if (decision.kind !== 'again') return Effect.fail(createStageFailure(job, outcome.error, decision.kind === 'giveUp' ? decision.reason : 'stageFailed'))
     if (!retries.tryAcquireRetry(job.stage.role)) {
-      this._decide(job, 'retry', 'refused', 'the retry budget is spent', '')
-      return Effect.fail(createFailure(job, outcome.error, 'stageFailed'))
+      this._recordDecision(job, 'retry', 'refused', 'the retry budget is exhausted', '')
+      return Effect.fail(createStageFailure(job, outcome.error, 'stageFailed'))
     }
-    this._decide(job, 'retry', 'again', outcome.error.message, '')
+    this._recordDecision(job, 'retry', 'again', outcome.error.message, '')
     return Effect.void
   }
 
-  private _decide (job: StageJob, kind: 'route' | 'outcome' | 'retry' | 'resume', choice: string, reason: string, inputs: string): void {
+  private _recordDecision (job: StageJob, kind: 'route' | 'outcome' | 'retry' | 'resume', choice: string, reason: string, inputs: string): void {
     this._options.decisions.record({ subject: job.plan.requestId, kind, choice, reason, inputs })
   }
 }
 
-function isSent (run: RequestRun, attemptId: string): boolean {
+function isAttemptSent (run: RequestRun, attemptId: string): boolean {
   return run.attemptLog.attempts.some(attempt => attempt.attemptId === attemptId && attempt.state === 'sent')
 }
 
-/** An upstream that can't resume an attempt says nothing about whether the attempt ran: it was sent, and stays so. */
-function keepSent (result: AttemptResult): AttemptResult {
+/** A refusal to resume does not show that the attempt did not run. The attempt was sent, so its outcome is unknown. */
+function convertNotRunToLost (result: AttemptResult): AttemptResult {
   if (result.outcome.kind !== 'notRun') return result
   return { ...result, outcome: { kind: 'lost', error: result.outcome.error } }
 }
 
-function describeSlotResult (outcome: UpstreamOutcome, gaveUp: boolean, cachesPrefix: boolean): SlotResult {
+function convertToSlotResult (outcome: UpstreamOutcome, isTimedOut: boolean, cachesPrefix: boolean): SlotResult {
   if (outcome.kind === 'answered') return { kind: 'answered', cachesPrefix }
   if (outcome.kind === 'notRun') return { kind: outcome.error.resultName === 'upstreamUnreachable' ? 'unreachable' : 'busy' }
-  return { kind: gaveUp ? 'slow' : outcome.kind }
+  return { kind: isTimedOut ? 'slow' : outcome.kind }
 }
 
-const FAILURE_NAMES = { outcomeUnknown: 'outcomeUnknown', stageFailed: 'stageFailed', noTime: 'deadlinePassed' } as const
+const RESULT_NAMES_BY_REASON = { outcomeUnknown: 'outcomeUnknown', stageFailed: 'stageFailed', noTime: 'deadlinePassed' } as const
 
-function createFailure (job: StageJob, cause: PepperwoodError, reason: keyof typeof FAILURE_NAMES): StageFailure {
-  const error = new PepperwoodError({ name: FAILURE_NAMES[reason], message: cause.message, place: `stage ${job.stage.name}`, value: cause.place })
+function createStageFailure (job: StageJob, cause: PepperwoodError, reason: keyof typeof RESULT_NAMES_BY_REASON): StageFailure {
+  const error = new PepperwoodError({ name: RESULT_NAMES_BY_REASON[reason], message: cause.message, place: `stage ${job.stage.name}`, value: cause.place })
   return new StageFailure({ error, retryAfterMs: 0 })
 }
--- a/src/services/pipeline/test/chunkBuffer.test.ts
+++ b/src/services/pipeline/test/chunkBuffer.test.ts
@@ -5,7 +5,7 @@
 
 const test = suite('chunkBuffer')
 
-test('the first text goes at once, what follows closely goes together, and nothing is lost', () => {
+test('the first text is sent immediately, text within the interval is batched, and no text is lost', () => {
   const clock = new VirtualClock()
   const chunks: string[] = []
   const buffer = new ChunkBuffer(clock, 25, text => chunks.push(text))
@@ -24,7 +24,7 @@
   assert.equal(chunks, ['a', 'bc', 'd'])
 })
 
-test('without an interval each text is a chunk', () => {
+test('with an interval of 0 each text is sent as its own chunk', () => {
   const chunks: string[] = []
   const buffer = new ChunkBuffer(new VirtualClock(), 0, text => chunks.push(text))
   for (const text of ['a', 'b', 'c']) buffer.add(text)
--- a/src/services/pipeline/test/fakes.ts
+++ b/src/services/pipeline/test/fakes.ts
@@ -1,5 +1,5 @@
 /**
- * Fakes for tests of the pipeline: an adapter whose calls are scripted, and a gate's inside around it.
+ * Test doubles for the pipeline: an upstream adapter with scripted outcomes, and a harness with the components of a gate around it.
  */
 import { create } from '@bufbuild/protobuf'
 import { Right } from 'purify-ts'
@@ -28,7 +28,10 @@
 import { RequestRunner } from '../node/requestRunner.ts'
 import { StageRunner } from '../node/stageRunner.ts'
 
-/** What a scripted call does. `connect` and `sent` say where it stops; the others are answers. */
+/**
+ * The scripted behaviour of a call. `neverOpens`, `busy`, `leaving` and `unknownAttempt` run nothing. `foreign` is an answer
+ * with the id of another attempt. `breakAfter2` interrupts the stream of an engine after 2 tokens.
+ */
 export type ScriptedCall =
   | 'answer' | 'neverOpens' | 'busy' | 'leaving' | 'failed' | 'lost' | 'foreign' | 'hang' | 'unknownAttempt' | 'breakAfter2'
 
@@ -36,12 +39,12 @@
   return new PepperwoodError({ name, message })
 }
 
-/** The tokens of the fake engine; whoever generates them, they are the same. */
+/** The tokens of the fake engine. Every upstream generates the same ones. */
 const TOKENS: readonly string[] = ['a', 'b', 'c', 'd']
 
 class FakeAdapter extends UpstreamAdapter {
   readonly calls: UpstreamCall[] = []
-  /** Calls whose first byte was written, by request, stage role and attempt. */
+  /** Ids of the attempts that the upstream ran, as `request/stage index/attempt`. */
   readonly ran: string[] = []
   readonly cancelled: string[] = []
   script: (call: UpstreamCall) => ScriptedCall = () => 'answer'
@@ -77,10 +80,10 @@
     return Right(undefined)
   }
 
-  private _generate (call: UpstreamCall, isBroken: boolean): UpstreamOutcome {
-    const until = isBroken ? Math.min(TOKENS.length, call.offset + 2) : TOKENS.length
+  private _generate (call: UpstreamCall, isInterrupted: boolean): UpstreamOutcome {
+    const until = isInterrupted ? Math.min(TOKENS.length, call.offset + 2) : TOKENS.length
     for (let index = call.offset; index < until; index++) call.onDidReceiveText(TOKENS[index] ?? '', index)
-    if (isBroken) return { kind: 'lost', error: createError('upstreamConnectionLost') }
+    if (isInterrupted) return { kind: 'lost', error: createError('upstreamConnectionLost') }
     return { kind: 'answered', text: '', tokenCount: TOKENS.length, busyMs: 2, cachedTokens: 0 }
   }
 }
@@ -94,7 +97,7 @@
   readonly unrepeatable?: boolean
 }
 
-/** A runner with everything real but the adapter. Each role has two upstreams; `generate` is an engine's. */
+/** Creates a request runner with real components except for the adapter. Each role has two upstreams; those of `generate` are engines. */
 export function createHarness (stages: readonly FakeStage[], options: { readonly retryShare?: number } = {}) {
   const clock = new VirtualClock()
   const adapter = new FakeAdapter()
@@ -152,11 +155,11 @@
 
 export type Harness = ReturnType<typeof createHarness>
 
-let nextRequest = 0
+let lastRequestNumber = 0
 
-/** Starts a request; its run tells the rest. */
+/** Starts a request and returns its run, from which the outcome can be read. */
 export function startRequest (harness: Harness, isUnrepeatable: boolean, deadlineMs = 1000): { readonly run: RequestRun, readonly done: Promise<void> } {
-  const requestId = `s/${++nextRequest}`
+  const requestId = `s/${++lastRequestNumber}`
   const run = new RequestRun({ requestId, customer: 'c', contentDigest: 'd', isUnrepeatable, startedAt: harness.clock.now() })
   const plan: RequestPlan = {
     requestId,
@@ -174,9 +177,9 @@
   return { run, done: harness.runner.run(plan, run) }
 }
 
-const TURNS = 12
+const EVENT_LOOP_TURNS = 12
 
-/** Lets everything that needs no time happen. */
-export async function settleTurns (): Promise<void> {
-  for (let turn = 0; turn < TURNS; turn++) await new Promise(resolve => { setImmediate(resolve) })
+/** Runs all pending tasks that do not wait for the virtual clock. */
+export async function runPendingTasks (): Promise<void> {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn++) await new Promise(resolve => { setImmediate(resolve) })
 }
--- a/src/services/pipeline/test/outcomeDecision.test.ts
+++ b/src/services/pipeline/test/outcomeDecision.test.ts
@@ -7,17 +7,17 @@
 
 const REFUSED = { kind: 'notRun' as const, error: new PepperwoodError({ name: 'upstreamUnreachable', message: 'busy' }), isLeaving: false, incarnation: 1 }
 
-/** How an unrepeatable stage that upstreams refuse goes on, with so much time left. */
-function decideRefused (timeLeftMs: number) {
-  return decideAfterOutcome({ outcome: REFUSED, isUnrepeatable: true, canResume: false, resumes: 0, attempts: 3, timeLeftMs })
+/** Returns the decision for an unrepeatable stage whose attempt was refused by the upstream. */
+function decideAfterRefusal (timeLeftMs: number) {
+  return decideAfterOutcome({ outcome: REFUSED, isUnrepeatable: true, canResume: false, resumeCount: 0, attemptCount: 3, timeLeftMs })
 }
 
-test('a refused attempt is sent again while an answer can still come', () => {
-  assert.is(decideRefused(400).kind, 'queue')
+test('a stage is queued again after a refusal while there is time for an answer', () => {
+  assert.is(decideAfterRefusal(400).kind, 'queue')
 })
 
-test('a refused attempt is not sent again so late that the deadline would cut it off, and nobody would know whether it ran', () => {
-  assert.equal(decideRefused(40), { kind: 'giveUp', reason: 'noTime' })
+test('a stage is not queued again after a refusal if the deadline could interrupt the next attempt and leave its outcome unknown', () => {
+  assert.equal(decideAfterRefusal(40), { kind: 'giveUp', reason: 'noTime' })
 })
 
 test.run()
--- a/src/services/pipeline/test/resolvePipeline.test.ts
+++ b/src/services/pipeline/test/resolvePipeline.test.ts
@@ -20,12 +20,12 @@
 })
 
 for (const [name, expected] of [['plain', [false, false]], ['marked', [true]], ['booked', [false, true]]] as const) {
-  test(`${name}: which stages must run at most once`, () => {
+  test(`stages that must run at most once are resolved: ${name}`, () => {
     assert.equal(resolvePipeline(configuration, name)?.stages.map(stage => stage.unrepeatable), expected)
   })
 }
 
-test('only pipelines without such a stage are repeatable, and the document stays as it was', () => {
+test('only pipelines without unrepeatable stages are repeatable, and the configuration is not modified', () => {
   assert.equal(listRepeatablePipelines(configuration), ['plain'])
   assert.is(configuration.pipelines[2]?.stages[1]?.unrepeatable, false)
   assert.is(resolvePipeline(configuration, 'none'), undefined)
--- a/src/services/result/common/pepperwoodError.ts
+++ b/src/services/result/common/pepperwoodError.ts
@@ -1,16 +1,15 @@
 /**
- * The error that every part of the system reports: a numbered result, the place it is about and the value found there.
+ * The error type of all components: a numbered result, the place that the error refers to and the value found there.
  */
 import { resultCodes } from './resultCodes.ts'
 import type { ResultName } from './resultCodes.ts'
 
-/** What an error is about. */
-export interface ProblemOptions {
+export interface PepperwoodErrorOptions {
   readonly name: ResultName
   readonly message: string
-  /** A file and key, a field, a stage, an address. */
+  /** For example a file and key, a field, a stage or an address. */
   readonly place?: string
-  /** The value found there, as text. */
+  /** The value found at the place, as text. Longer values are truncated. */
   readonly value?: string
 }
 
@@ -22,7 +21,7 @@
   readonly place: string
   readonly value: string
 
-  constructor (options: ProblemOptions) {
+  constructor (options: PepperwoodErrorOptions) {
     super(options.message)
     this.name = 'PepperwoodError'
     this.resultName = options.name
@@ -38,7 +37,7 @@
   }
 }
 
-/** Turns anything thrown into a typed error. */
+/** Converts any thrown value; a value of another type becomes the result `internal`. */
 export function toPepperwoodError (thrown: unknown): PepperwoodError {
   if (thrown instanceof PepperwoodError) return thrown
   const message = thrown instanceof Error ? thrown.message : String(thrown)
--- a/src/services/result/common/resultCodes.ts
+++ b/src/services/result/common/resultCodes.ts
@@ -1,8 +1,8 @@
 /**
- * The numbered results of the system. docs/RESULT_CODES.md lists the same numbers, and a test compares them.
+ * The result codes of the system. docs/RESULT_CODES.md lists the same codes, and a test compares the two.
  *
- * 1xx settings and configuration, 2xx requests refused, 3xx requests that ended without a whole answer,
- * 4xx frames between processes, 5xx upstreams.
+ * 1xx: settings and configuration. 2xx: refused requests. 3xx: requests that ended without a whole answer.
+ * 4xx: frames between processes. 5xx: upstreams. 9xx: internal errors.
  */
 export const resultCodes = {
   settingsUnreadable: 101,
--- a/src/services/rpc/node/frameServer.ts
+++ b/src/services/rpc/node/frameServer.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts links from the system's other processes.
+ * Accepts frame connections from other processes of the system.
  */
 import { createServer } from 'node:net'
 import type { AddressInfo, Server } from 'node:net'
@@ -19,7 +19,7 @@
     this._register(toDisposable(() => { this._server.close() }))
   }
 
-  /** Resolves with the port, which is a free one where 0 was asked for. */
+  /** Resolves with the port in use. Port 0 selects a free port. */
   listen (host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this._server.once('error', reject)
--- a/src/services/rpc/node/rpcClients.ts
+++ b/src/services/rpc/node/rpcClients.ts
@@ -1,5 +1,5 @@
 /**
- * Clients of the schema's services, for the command line and the experiments.
+ * Creates Connect clients of the services in the protobuf schema, for the command line and the load tests.
  */
 import { createClient } from '@connectrpc/connect'
 import type { Client } from '@connectrpc/connect'
--- a/src/services/rpc/node/rpcServer.ts
+++ b/src/services/rpc/node/rpcServer.ts
@@ -1,5 +1,5 @@
 /**
- * Serves the schema's services to callers and operators over HTTP/1.1.
+ * Serves the services of the protobuf schema to callers and operators over HTTP/1.1.
  */
 import { createServer } from 'node:http'
 import type { Server } from 'node:http'
@@ -8,7 +8,7 @@
 import { connectNodeAdapter } from '@connectrpc/connect-node'
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
 
-/** The largest request that is read; an input and a checkpoint of the largest size fit. */
+/** Size limit of a request; large enough for an input and a checkpoint of their maximum sizes. */
 const MAX_REQUEST_BYTES = 2 * 1024 * 1024
 const KEEP_ALIVE_MS = 60_000
 
@@ -25,7 +25,7 @@
     }))
   }
 
-  /** Resolves with the port, which is a free one where 0 was asked for. */
+  /** Resolves with the port in use. Port 0 selects a free port. */
   listen (host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this._server.once('error', reject)
--- a/src/services/session/common/attemptLog.ts
+++ b/src/services/session/common/attemptLog.ts
@@ -1,10 +1,10 @@
 /**
- * What was sent for a request, and the one decision on what a refusal may say about it.
+ * The attempts of a request, and what a refusal of the request may report about its execution.
  */
 
 /**
- * `prepared` was never written; `sent` has no known outcome; `notRun` is known not to have run;
- * `ran` ended with a failure that the upstream reported; `answered` brought the whole result.
+ * `prepared`: not written to the connection yet. `sent`: written, outcome unknown. `notRun`: known not to have run.
+ * `ran`: the upstream ran it and reported a failure. `answered`: the whole result was received.
  */
 export type AttemptState = 'prepared' | 'sent' | 'notRun' | 'ran' | 'answered'
 
@@ -13,7 +13,7 @@
   readonly stageIndex: number
   readonly stage: string
   readonly upstream: string
-  /** The request or the stage must not run twice. */
+  /** The request or the stage must not run more than once. */
   readonly isUnrepeatable: boolean
   readonly state: AttemptState
   readonly busyMs: number
@@ -21,29 +21,29 @@
   readonly endedAt: number
 }
 
-/** What may be said of a request that got no whole answer. */
+/** What a refusal reports about the execution of a request without a whole answer. */
 export type ExecutionClaim = 'notRun' | 'mayHaveRun' | 'incomplete'
 
-/** Whether an attempt may have had an effect at its upstream. */
+/** Returns whether the attempt may have had an effect at its upstream. */
 export function mayHaveRun (attempt: Attempt): boolean {
   return attempt.state !== 'prepared' && attempt.state !== 'notRun'
 }
 
-/** The only place where `notRun` is decided. */
-export function decideExecution (attempts: readonly Attempt[]): ExecutionClaim {
-  const effective = attempts.filter(mayHaveRun)
-  if (effective.length === 0) return 'notRun'
-  const isOutcomeOpen = effective.some(attempt => attempt.isUnrepeatable && attempt.state === 'sent')
-  if (isOutcomeOpen) return 'mayHaveRun'
-  return effective.some(attempt => attempt.state === 'answered') ? 'incomplete' : 'mayHaveRun'
+/** The only place that derives `notRun` from attempts. */
+export function deriveExecutionState (attempts: readonly Attempt[]): ExecutionClaim {
+  const possiblyRunAttempts = attempts.filter(mayHaveRun)
+  if (possiblyRunAttempts.length === 0) return 'notRun'
+  const hasUnknownOutcome = possiblyRunAttempts.some(attempt => attempt.isUnrepeatable && attempt.state === 'sent')
+  if (hasUnknownOutcome) return 'mayHaveRun'
+  return possiblyRunAttempts.some(attempt => attempt.state === 'answered') ? 'incomplete' : 'mayHaveRun'
 }
 
-/** Whether a stage may be sent once more. */
+/** Returns whether another attempt of the stage may be sent. */
 export function canSendAgain (attempts: readonly Attempt[], stageIndex: number): boolean {
   return !attempts.some(attempt => attempt.stageIndex === stageIndex && attempt.isUnrepeatable && mayHaveRun(attempt))
 }
 
-/** The attempts of one request, in the order in which they were made. */
+/** The attempts of one request, in the order of their creation. */
 export class AttemptLog {
   private readonly _attempts: Attempt[] = []
 
@@ -55,7 +55,7 @@
     this._attempts.push({ ...attempt, state: 'prepared', busyMs: 0, startedAt: now, endedAt: now })
   }
 
-  /** Records a change of state; an attempt never goes back from a known end. */
+  /** Updates the state of an attempt. A final state (`notRun`, `ran`, `answered`) never changes again. */
   update (attemptId: string, state: AttemptState, now: number, busyMs = 0): void {
     const index = this._attempts.findIndex(attempt => attempt.attemptId === attemptId)
     const attempt = this._attempts[index]
--- a/src/services/session/common/requestRun.ts
+++ b/src/services/session/common/requestRun.ts
@@ -1,6 +1,6 @@
 /**
- * One request at its home: its attempts and its answer so far. Callers attach to it as often as they like;
- * it is run once.
+ * A request at its home gate: its attempts and the answer received so far. The request runs once; any number of callers
+ * can attach to the run.
  */
 import { Emitter } from '../../../base/common/event.ts'
 import type { StageCost } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -9,28 +9,29 @@
 import { AttemptLog } from './attemptLog.ts'
 import type { ExecutionClaim } from './attemptLog.ts'
 
-/** The whole answer was given. */
-export interface WholeEnd {
+/** The run produced the whole answer. */
+export interface WholeOutcome {
   readonly kind: 'whole'
   readonly digest: string
   readonly costs: readonly StageCost[]
 }
 
-/** No whole answer will come. */
-export interface RefusedEnd {
+/** The run ended without a whole answer. */
+export interface RefusedOutcome {
   readonly kind: 'refused'
   readonly error: PepperwoodError
   readonly execution: ExecutionClaim
-  /** When to come back; 0 means at once. */
+  /** How long the caller should wait before it submits again; 0 means immediately. */
   readonly retryAfterMs: number
-  /** Where to go instead. */
+  /** Other gates that the caller can use instead. */
   readonly gates: readonly LocatedGate[]
   readonly costs: readonly StageCost[]
 }
 
-export type RunEnd = WholeEnd | RefusedEnd
+export type RunEnd = WholeOutcome | RefusedOutcome
 
 export interface SealedCheckpoint {
+  /** The signed checkpoint, as sent to the caller. */
   readonly sealed: Uint8Array
   readonly stagesDone: number
 }
@@ -38,7 +39,7 @@
 export interface RequestRunOptions {
   readonly requestId: string
   readonly customer: string
-  /** Of the request's content; the same number with another content is refused. */
+  /** Digest of the request's content. A submission with the same number and different content is refused. */
   readonly contentDigest: string
   readonly isUnrepeatable: boolean
   readonly startedAt: number
@@ -54,8 +55,8 @@
   readonly abort = new AbortController()
   private readonly _chunks: string[] = []
   private _checkpoint: SealedCheckpoint | undefined
-  private _end: RunEnd | undefined
-  private _size = 0
+  private _outcome: RunEnd | undefined
+  private _answerSize = 0
   private readonly _onDidChange = new Emitter<void>()
   readonly onDidChange = this._onDidChange.event
 
@@ -76,32 +77,32 @@
   }
 
   get end (): RunEnd | undefined {
-    return this._end
+    return this._outcome
   }
 
-  /** What the kept answer takes, in UTF-16 units. */
+  /** Size of the answer in UTF-16 code units, plus the size of the checkpoint in bytes. */
   get size (): number {
-    return this._size + (this._checkpoint?.sealed.length ?? 0)
+    return this._answerSize + (this._checkpoint?.sealed.length ?? 0)
   }
 
-  /** Adds a chunk; a chunk after the end is dropped. */
+  /** Adds a chunk. Chunks that arrive after the run has finished are discarded. */
   addChunk (text: string): void {
-    if (this._end !== undefined) return
+    if (this._outcome !== undefined) return
     this._chunks.push(text)
-    this._size += text.length
+    this._answerSize += text.length
     this._onDidChange.fire()
   }
 
   setCheckpoint (checkpoint: SealedCheckpoint): void {
-    if (this._end !== undefined) return
+    if (this._outcome !== undefined) return
     this._checkpoint = checkpoint
     this._onDidChange.fire()
   }
 
-  /** Ends the run; the first end stands. */
-  finish (end: RunEnd): void {
-    if (this._end !== undefined) return
-    this._end = end
+  /** Finishes the run. Only the first call has an effect. */
+  finish (runOutcome: RunEnd): void {
+    if (this._outcome !== undefined) return
+    this._outcome = runOutcome
     this._onDidChange.fire()
   }
 }
--- a/src/services/session/common/seenNumbers.ts
+++ b/src/services/session/common/seenNumbers.ts
@@ -1,5 +1,5 @@
 /**
- * Which request numbers a session has seen, in bounded memory.
+ * Tracks in bounded memory which request numbers a session has seen.
  */
 
 interface Interval {
@@ -7,54 +7,55 @@
   readonly to: number
 }
 
-/** `unknown` numbers can no longer be told seen from unseen, so they must not run. */
+/** `unknown`: it is no longer tracked whether the number was seen, so the request must not run. */
 export type NumberState = 'new' | 'seen' | 'unknown'
 
 export const DEFAULT_MAX_INTERVALS = 64
 
 /**
- * A floor plus intervals above it. When there are too many intervals, the lowest gap is given up:
- * its numbers become unknown, for good.
+ * Stores a number up to which all numbers were seen, and intervals of seen numbers above it. If there are too many
+ * intervals, the lowest one is removed. All numbers above the stored number and up to the end of the removed interval are
+ * unknown from then on and never become new again.
  */
 export class SeenNumbers {
-  /** All numbers up to here were seen. */
-  private _seenFloor = 0
-  /** Numbers up to here that are not known as seen are unknown. */
-  private _unknownFloor = 0
+  /** All numbers up to and including this one were seen. */
+  private _seenUpTo = 0
+  /** Numbers up to and including this one are unknown unless tracked as seen. */
+  private _unknownUpTo = 0
   private _intervals: readonly Interval[] = []
 
   constructor (private readonly _maxIntervals = DEFAULT_MAX_INTERVALS) {}
 
   check (number: number): NumberState {
-    if (number <= this._seenFloor) return 'seen'
+    if (number <= this._seenUpTo) return 'seen'
     if (this._intervals.some(interval => interval.from <= number && number <= interval.to)) return 'seen'
-    return number <= this._unknownFloor ? 'unknown' : 'new'
+    return number <= this._unknownUpTo ? 'unknown' : 'new'
   }
 
-  /** Marks a number as seen, once and for good. */
+  /** Marks a number as seen. It never becomes new again. */
   add (number: number): void {
     if (this.check(number) === 'seen') return
     this._intervals = mergeIntervals([...this._intervals, { from: number, to: number }])
-    this._raiseFloor()
-    while (this._intervals.length > this._maxIntervals) this._giveUpLowestGap()
+    this._mergeLowestInterval()
+    while (this._intervals.length > this._maxIntervals) this._removeLowestInterval()
   }
 
-  /** How many intervals are held, for the dump. */
+  /** Reported in dumps of the gate. */
   get intervalCount (): number {
     return this._intervals.length
   }
 
-  private _raiseFloor (): void {
+  private _mergeLowestInterval (): void {
     const lowest = this._intervals[0]
-    if (lowest === undefined || lowest.from > this._seenFloor + 1) return
-    this._seenFloor = lowest.to
+    if (lowest === undefined || lowest.from > this._seenUpTo + 1) return
+    this._seenUpTo = lowest.to
     this._intervals = this._intervals.slice(1)
   }
 
-  private _giveUpLowestGap (): void {
+  private _removeLowestInterval (): void {
     const lowest = this._intervals[0]
     if (lowest === undefined) return
-    this._unknownFloor = lowest.to
+    this._unknownUpTo = lowest.to
     this._intervals = this._intervals.slice(1)
   }
 }
--- a/src/services/session/common/sessionService.ts
+++ b/src/services/session/common/sessionService.ts
@@ -1,6 +1,6 @@
 /**
- * Sessions of this incarnation of the gate. A session is the ticket by which a request has one owner:
- * only the gate that gave it may run its requests, and only while that process lives.
+ * The sessions that this incarnation of the gate opened. A session gives each of its requests exactly one owner: only
+ * the gate process that opened the session may run its requests, so they cannot run after that process has ended.
  */
 import { Left, Right } from 'purify-ts'
 import type { Either } from 'purify-ts'
@@ -12,21 +12,20 @@
 export interface Session {
   readonly id: string
   readonly customer: string
-  /** On this process's clock. */
+  /** On this process's clock, in milliseconds. */
   readonly expiresAt: number
-  /** Pipelines that the caller was told it may submit anew. */
+  /** Pipelines whose requests the caller may submit again in another session, as announced when the session was opened. */
   readonly repeatablePipelines: ReadonlySet<string>
   readonly seen: SeenNumbers
-  /** Runs in progress and kept answers, by number. */
+  /** Runs in progress, and finished runs whose answers are retained, by request number. */
   readonly runs: Map<number, RequestRun>
 }
 
-/** What becomes of a submission. */
+/** Whether a submission starts a new run or attaches to an existing one. */
 export type SubmissionDecision =
   | { readonly kind: 'run', readonly run: RequestRun }
   | { readonly kind: 'attach', readonly run: RequestRun }
 
-/** A request as it came in. */
 export interface Submission {
   readonly sessionId: string
   readonly number: number
@@ -40,7 +39,7 @@
   readonly lifetimeMs?: number
   readonly maxSessions?: number
   readonly maxSessionsPerCustomer?: number
-  /** For answers kept after their end, over all sessions, in UTF-16 units. */
+  /** Limit for the retained answers of finished runs over all sessions, in UTF-16 code units. */
   readonly maxKeptSize?: number
 }
 
@@ -49,7 +48,7 @@
   find (sessionId: string): Either<PepperwoodError, Session>
   submit (submission: Submission): Either<PepperwoodError, SubmissionDecision>
   findRun (sessionId: string, number: number): Either<PepperwoodError, RequestRun>
-  /** Called when a run has ended, so that kept answers stay within their limit. */
+  /** Retains the answer of a finished run, and evicts the oldest retained answers above the size limit. */
   keep (run: RequestRun): void
   readonly runningCount: number
   readonly sessions: readonly Session[]
@@ -63,11 +62,11 @@
   private readonly _lifetimeMs: number
   private readonly _maxSessions: number
   private readonly _maxSessionsPerCustomer: number
-  private readonly _maxKeptSize: number
+  private readonly _maxRetainedSize: number
   private readonly _sessions = new Map<string, Session>()
-  private readonly _sessionCounts = new Map<string, number>()
-  private readonly _kept = new Set<RequestRun>()
-  private _keptSize = 0
+  private readonly _sessionCountByCustomer = new Map<string, number>()
+  private readonly _retainedRuns = new Set<RequestRun>()
+  private _retainedSize = 0
   private _runningCount = 0
 
   constructor (options: SessionServiceOptions) {
@@ -76,7 +75,7 @@
     this._lifetimeMs = options.lifetimeMs ?? 600_000
     this._maxSessions = options.maxSessions ?? 20_000
     this._maxSessionsPerCustomer = options.maxSessionsPerCustomer ?? 5_000
-    this._maxKeptSize = options.maxKeptSize ?? 32 * 1024 * 1024
+    this._maxRetainedSize = options.maxKeptSize ?? 32 * 1024 * 1024
   }
 
   get runningCount (): number {
@@ -88,8 +87,8 @@
   }
 
   open (customer: string, repeatablePipelines: readonly string[] = []): Either<PepperwoodError, Session> {
-    this._dropExpired()
-    const count = this._sessionCounts.get(customer) ?? 0
+    this._removeExpiredSessions()
+    const count = this._sessionCountByCustomer.get(customer) ?? 0
     if (this._sessions.size >= this._maxSessions || count >= this._maxSessionsPerCustomer) {
       return Left(new PepperwoodError({ name: 'sessionLimit', message: 'too many sessions are open', place: 'customer', value: customer }))
     }
@@ -102,14 +101,14 @@
       runs: new Map()
     }
     this._sessions.set(session.id, session)
-    this._sessionCounts.set(customer, count + 1)
+    this._sessionCountByCustomer.set(customer, count + 1)
     return Right(session)
   }
 
   find (sessionId: string): Either<PepperwoodError, Session> {
     const session = this._sessions.get(sessionId)
     if (session === undefined || session.expiresAt <= this._clock.now()) {
-      return Left(new PepperwoodError({ name: 'sessionUnknown', message: 'no such session here, or it has expired', place: 'session' }))
+      return Left(new PepperwoodError({ name: 'sessionUnknown', message: 'the session does not exist on this gate or has expired', place: 'session' }))
     }
     return Right(session)
   }
@@ -117,14 +116,14 @@
   submit (submission: Submission): Either<PepperwoodError, SubmissionDecision> {
     const { number, contentDigest } = submission
     if (!Number.isInteger(number) || number < 1 || number > MAX_NUMBER) {
-      return Left(new PepperwoodError({ name: 'requestInvalid', message: 'expected a number from 1 on', place: 'number', value: String(number) }))
+      return Left(new PepperwoodError({ name: 'requestInvalid', message: 'expected an unsigned 32-bit integer greater than 0', place: 'number', value: String(number) }))
     }
     return this.find(submission.sessionId).chain<PepperwoodError, SubmissionDecision>(session => {
-      if (session.seen.check(number) === 'new') return Right({ kind: 'run', run: this._start(session, submission) })
+      if (session.seen.check(number) === 'new') return Right({ kind: 'run', run: this._startRun(session, submission) })
       const run = session.runs.get(number)
-      if (run === undefined) return Left(createForgotten(number))
+      if (run === undefined) return Left(createForgottenError(number))
       if (run.contentDigest !== contentDigest) {
-        return Left(new PepperwoodError({ name: 'numberReused', message: 'the number was used for another request', place: 'number', value: String(number) }))
+        return Left(new PepperwoodError({ name: 'numberReused', message: 'the number was already used for a request with different content', place: 'number', value: String(number) }))
       }
       return Right({ kind: 'attach', run })
     })
@@ -134,22 +133,22 @@
     return this.find(sessionId).chain(session => {
       const run = session.runs.get(number)
       if (run !== undefined) return Right(run)
-      if (session.seen.check(number) !== 'new') return Left(createForgotten(number))
-      return Left(new PepperwoodError({ name: 'requestUnknown', message: 'no such request in the session', place: 'number', value: String(number) }))
+      if (session.seen.check(number) !== 'new') return Left(createForgottenError(number))
+      return Left(new PepperwoodError({ name: 'requestUnknown', message: 'no request of the session has this number', place: 'number', value: String(number) }))
     })
   }
 
   keep (run: RequestRun): void {
     this._runningCount--
-    this._kept.add(run)
-    this._keptSize += run.size
-    for (const oldest of this._kept) {
-      if (this._keptSize <= this._maxKeptSize) break
-      this._forget(oldest)
+    this._retainedRuns.add(run)
+    this._retainedSize += run.size
+    for (const oldest of this._retainedRuns) {
+      if (this._retainedSize <= this._maxRetainedSize) break
+      this._evictRun(oldest)
     }
   }
 
-  private _start (session: Session, submission: Submission): RequestRun {
+  private _startRun (session: Session, submission: Submission): RequestRun {
     const run = new RequestRun({
       requestId: `${session.id}/${submission.number}`,
       customer: session.customer,
@@ -157,34 +156,34 @@
       isUnrepeatable: submission.isUnrepeatable,
       startedAt: this._clock.now()
     })
-    // From here on the number never runs again, whatever happens to the run.
+    // Marked before the run starts, so that the number never runs again even if the run fails.
     session.seen.add(submission.number)
     session.runs.set(submission.number, run)
     this._runningCount++
     return run
   }
 
-  private _forget (run: RequestRun): void {
-    if (!this._kept.delete(run)) return
-    this._keptSize -= run.size
+  private _evictRun (run: RequestRun): void {
+    if (!this._retainedRuns.delete(run)) return
+    this._retainedSize -= run.size
     const [sessionId = '', number] = run.requestId.split('/')
     this._sessions.get(sessionId)?.runs.delete(Number(number))
   }
 
-  /** A session goes only after its expiry and when nothing of it runs, so its numbers can never be run anew. */
-  private _dropExpired (): void {
+  /** Removes sessions that have expired and have no run in progress. An expired session accepts no requests, so its numbers cannot run again. */
+  private _removeExpiredSessions (): void {
     const now = this._clock.now()
     for (const session of this._sessions.values()) {
       if (session.expiresAt > now) break
       const runs = [...session.runs.values()]
       if (runs.some(run => run.end === undefined)) continue
-      for (const run of runs) this._forget(run)
+      for (const run of runs) this._evictRun(run)
       this._sessions.delete(session.id)
-      this._sessionCounts.set(session.customer, (this._sessionCounts.get(session.customer) ?? 1) - 1)
+      this._sessionCountByCustomer.set(session.customer, (this._sessionCountByCustomer.get(session.customer) ?? 1) - 1)
     }
   }
 }
 
-function createForgotten (number: number): PepperwoodError {
-  return new PepperwoodError({ name: 'outcomeForgotten', message: 'the request may have run and its answer is no longer kept', place: 'number', value: String(number) })
+function createForgottenError (number: number): PepperwoodError {
+  return new PepperwoodError({ name: 'outcomeForgotten', message: 'the request may have run and its answer is no longer retained', place: 'number', value: String(number) })
 }
--- a/src/services/session/node/checkpointSeal.ts
+++ b/src/services/session/node/checkpointSeal.ts
@@ -1,7 +1,7 @@
 /**
- * Checkpoints: what a caller keeps for a request so that any gate continues it from the last finished stage.
- * They are sealed with HMAC-SHA256 and name the customer, the request's content and the stages, so that a
- * changed, foreign or outdated one is refused.
+ * Signs and verifies checkpoints. A caller stores the checkpoint of a request, and any gate can resume the request from
+ * the last finished stage. A checkpoint is signed with HMAC-SHA256 and contains the customer, the digest of the request's
+ * content and the stages, so a checkpoint that was modified, belongs to another request or is outdated is refused.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto'
 import { Either as EffectEither, Schema } from 'effect'
@@ -9,15 +9,15 @@
 import type { Either } from 'purify-ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 
-const FORMAT = 1
-const FORMAT_BYTES = 1
+const FORMAT_VERSION = 1
+const FORMAT_VERSION_BYTES = 1
 const MAC_BYTES = 32
 export const MAX_CHECKPOINT_BYTES = 512 * 1024
 
 const CheckpointBody = Schema.Struct({
   customer: Schema.String,
   pipeline: Schema.String,
-  /** The names of the pipeline's stages, in order. */
+  /** Names of the stages of the pipeline, in order. */
   stages: Schema.Array(Schema.String),
   contentDigest: Schema.String,
   stagesDone: Schema.Number,
@@ -27,65 +27,65 @@
 
 export type CheckpointContent = typeof CheckpointBody.Type
 
-/** What a checkpoint must match to be continued. */
-export type CheckpointSubject = Omit<CheckpointContent, 'stagesDone' | 'result'>
+/** The values that a checkpoint must match to be accepted. */
+export type ExpectedCheckpoint = Omit<CheckpointContent, 'stagesDone' | 'result'>
 
-const decode = Schema.decodeUnknownEither(CheckpointBody)
+const decodeBody = Schema.decodeUnknownEither(CheckpointBody)
 
-function createInvalid (message: string): PepperwoodError {
+function createInvalidError (message: string): PepperwoodError {
   return new PepperwoodError({ name: 'checkpointInvalid', message, place: 'checkpoint' })
 }
 
-export interface CheckpointSealOptions {
+export interface CheckpointSignerOptions {
   readonly key: string
-  /** Accepted but no longer used for sealing, while keys are being changed. */
+  /** During a key rotation: accepted for verification, not used for signing. */
   readonly previousKey?: string
 }
 
 export class CheckpointSeal {
   private readonly _keys: readonly string[]
 
-  constructor (options: CheckpointSealOptions) {
+  constructor (options: CheckpointSignerOptions) {
     this._keys = options.previousKey === undefined ? [options.key] : [options.key, options.previousKey]
   }
 
-  /** Undefined when the checkpoint would be too large to hand out. */
+  /** Returns the signed checkpoint, or undefined if it would exceed `MAX_CHECKPOINT_BYTES`. */
   seal (content: CheckpointContent): Uint8Array | undefined {
     const body = Buffer.from(JSON.stringify(content))
-    if (FORMAT_BYTES + MAC_BYTES + body.length > MAX_CHECKPOINT_BYTES) return undefined
-    return Buffer.concat([Buffer.from([FORMAT]), this._sign(this._keys[0] ?? '', body), body])
+    if (FORMAT_VERSION_BYTES + MAC_BYTES + body.length > MAX_CHECKPOINT_BYTES) return undefined
+    return Buffer.concat([Buffer.from([FORMAT_VERSION]), this._computeMac(this._keys[0] ?? '', body), body])
   }
 
-  open (sealed: Uint8Array, subject: CheckpointSubject): Either<PepperwoodError, CheckpointContent> {
-    const bytes = Buffer.from(sealed)
-    if (bytes.length > MAX_CHECKPOINT_BYTES) return Left(createInvalid('too large'))
-    if (bytes.length <= FORMAT_BYTES + MAC_BYTES) return Left(createInvalid('too short'))
-    if (bytes[0] !== FORMAT) return Left(createInvalid(`format ${bytes[0]} is not read here`))
-    const mac = bytes.subarray(FORMAT_BYTES, FORMAT_BYTES + MAC_BYTES)
-    const body = bytes.subarray(FORMAT_BYTES + MAC_BYTES)
-    if (!this._keys.some(key => timingSafeEqual(mac, this._sign(key, body)))) return Left(createInvalid('the seal does not match'))
-    return parseContent(body).chain(content => matchSubject(content, subject))
+  open (signedCheckpoint: Uint8Array, expected: ExpectedCheckpoint): Either<PepperwoodError, CheckpointContent> {
+    const bytes = Buffer.from(signedCheckpoint)
+    if (bytes.length > MAX_CHECKPOINT_BYTES) return Left(createInvalidError('too large'))
+    if (bytes.length <= FORMAT_VERSION_BYTES + MAC_BYTES) return Left(createInvalidError('too short'))
+    if (bytes[0] !== FORMAT_VERSION) return Left(createInvalidError(`format version ${bytes[0]} is not supported`))
+    const mac = bytes.subarray(FORMAT_VERSION_BYTES, FORMAT_VERSION_BYTES + MAC_BYTES)
+    const body = bytes.subarray(FORMAT_VERSION_BYTES + MAC_BYTES)
+    if (!this._keys.some(key => timingSafeEqual(mac, this._computeMac(key, body)))) return Left(createInvalidError('the signature does not match'))
+    return parseContent(body).chain(content => validateContent(content, expected))
   }
 
-  private _sign (key: string, body: Buffer): Buffer {
-    return createHmac('sha256', key).update(Buffer.from([FORMAT])).update(body).digest()
+  private _computeMac (key: string, body: Buffer): Buffer {
+    return createHmac('sha256', key).update(Buffer.from([FORMAT_VERSION])).update(body).digest()
   }
 }
 
 function parseContent (body: Buffer): Either<PepperwoodError, CheckpointContent> {
   try {
-    const decoded = decode(JSON.parse(body.toString('utf8')))
-    return EffectEither.isRight(decoded) ? Right(decoded.right) : Left(createInvalid('wrong fields'))
+    const decoded = decodeBody(JSON.parse(body.toString('utf8')))
+    return EffectEither.isRight(decoded) ? Right(decoded.right) : Left(createInvalidError('fields are missing or have the wrong type'))
   } catch {
-    return Left(createInvalid('unreadable'))
+    return Left(createInvalidError('the body is not valid JSON'))
   }
 }
 
-function matchSubject (content: CheckpointContent, subject: CheckpointSubject): Either<PepperwoodError, CheckpointContent> {
-  if (content.customer !== subject.customer) return Left(createInvalid('it belongs to another customer'))
-  if (content.contentDigest !== subject.contentDigest) return Left(createInvalid('it belongs to another request'))
-  const isSamePipeline = content.pipeline === subject.pipeline && content.stages.join('\n') === subject.stages.join('\n')
-  if (!isSamePipeline) return Left(createInvalid('the pipeline has changed since'))
-  if (content.stagesDone < 1 || content.stagesDone >= content.stages.length) return Left(createInvalid('no stage is left to run'))
+function validateContent (content: CheckpointContent, expected: ExpectedCheckpoint): Either<PepperwoodError, CheckpointContent> {
+  if (content.customer !== expected.customer) return Left(createInvalidError('issued for another customer'))
+  if (content.contentDigest !== expected.contentDigest) return Left(createInvalidError('issued for another request'))
+  const isSamePipeline = content.pipeline === expected.pipeline && content.stages.join('\n') === expected.stages.join('\n')
+  if (!isSamePipeline) return Left(createInvalidError('the pipeline has changed since the checkpoint was issued'))
+  if (content.stagesDone < 1 || content.stagesDone >= content.stages.length) return Left(createInvalidError('the number of finished stages is out of range'))
   return Right(content)
 }
--- a/src/services/session/test/attemptLog.test.ts
+++ b/src/services/session/test/attemptLog.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { AttemptLog, canSendAgain, decideExecution } from '../common/attemptLog.ts'
+import { AttemptLog, canSendAgain, deriveExecutionState } from '../common/attemptLog.ts'
 import type { Attempt, AttemptState, ExecutionClaim } from '../common/attemptLog.ts'
 
 const SEED = 20261203
@@ -14,8 +14,8 @@
 const cases: readonly (readonly [string, readonly Attempt[], ExecutionClaim])[] = [
   ['no attempt', [], 'notRun'],
   ['prepared only', [createAttempt('prepared')], 'notRun'],
-  ['known not run', [createAttempt('notRun'), createAttempt('notRun')], 'notRun'],
-  ['sent without outcome', [createAttempt('sent')], 'mayHaveRun'],
+  ['known not to have run', [createAttempt('notRun'), createAttempt('notRun')], 'notRun'],
+  ['sent, outcome unknown', [createAttempt('sent')], 'mayHaveRun'],
   ['one not run, one sent', [createAttempt('notRun'), createAttempt('sent')], 'mayHaveRun'],
   ['ran and failed', [createAttempt('ran')], 'mayHaveRun'],
   ['one stage answered', [createAttempt('answered')], 'incomplete'],
@@ -25,10 +25,10 @@
 ]
 
 for (const [name, attempts, expected] of cases) {
-  test(`${name}: ${expected}`, () => assert.is(decideExecution(attempts), expected))
+  test(`${name}: ${expected}`, () => assert.is(deriveExecutionState(attempts), expected))
 }
 
-test('notRun is claimed exactly when nothing was ever sent or all that was sent is known not to have run', () => {
+test('the execution is notRun exactly if no attempt was sent or every sent attempt is known not to have run', () => {
   const state = fc.constantFrom<AttemptState>('sent', 'notRun', 'ran', 'answered')
   fc.assert(fc.property(fc.array(fc.record({ stage: fc.integer({ min: 0, max: 3 }), states: fc.array(state, { maxLength: 4 }), isUnrepeatable: fc.boolean() }), { maxLength: 8 }), steps => {
     const log = new AttemptLog()
@@ -40,22 +40,22 @@
       const known = step.states.find(next => next !== 'sent')
       if (step.states.length > 0 && known !== 'notRun') hasEffect = true
     })
-    assert.is(decideExecution(log.attempts) === 'notRun', !hasEffect)
+    assert.is(deriveExecutionState(log.attempts) === 'notRun', !hasEffect)
     for (let stage = 0; stage < 4; stage++) {
-      const open = log.attempts.some(attempt => attempt.stageIndex === stage && attempt.isUnrepeatable && ['sent', 'ran', 'answered'].includes(attempt.state))
-      assert.is(canSendAgain(log.attempts, stage), !open)
+      const hasUnrepeatableAttempt = log.attempts.some(attempt => attempt.stageIndex === stage && attempt.isUnrepeatable && ['sent', 'ran', 'answered'].includes(attempt.state))
+      assert.is(canSendAgain(log.attempts, stage), !hasUnrepeatableAttempt)
     }
   }), { seed: SEED, numRuns: 3000 })
 })
 
-test('a known end is never taken back', () => {
+test('a final state of an attempt never changes', () => {
   const log = new AttemptLog()
   log.prepare({ attemptId: 'a', stageIndex: 0, stage: 's', upstream: 'u', isUnrepeatable: true }, 0)
   log.update('a', 'sent', 1)
   log.update('a', 'answered', 2, 5)
   log.update('a', 'notRun', 3)
   assert.is(log.attempts[0]?.state, 'answered')
-  assert.is(decideExecution(log.attempts), 'incomplete')
+  assert.is(deriveExecutionState(log.attempts), 'incomplete')
 })
 
 test.run()
--- a/src/services/session/test/checkpointSeal.test.ts
+++ b/src/services/session/test/checkpointSeal.test.ts
@@ -4,22 +4,22 @@
 import type { CheckpointContent } from '../node/checkpointSeal.ts'
 
 const KEY = 'a key of some length'
-const subject = { customer: 'c', pipeline: 'p', stages: ['a', 'b', 'c'], contentDigest: 'd' }
-const content: CheckpointContent = { ...subject, stagesDone: 2, result: 'text' }
+const expected = { customer: 'c', pipeline: 'p', stages: ['a', 'b', 'c'], contentDigest: 'd' }
+const content: CheckpointContent = { ...expected, stagesDone: 2, result: 'text' }
 const test = suite('checkpointSeal')
 
-function seal (options: Partial<CheckpointContent> = {}, key = KEY): Uint8Array {
+function signCheckpoint (options: Partial<CheckpointContent> = {}, key = KEY): Uint8Array {
   return new CheckpointSeal({ key }).seal({ ...content, ...options }) ?? new Uint8Array()
 }
 
-test('a checkpoint opens at any gate with the key', () => {
-  assert.equal(new CheckpointSeal({ key: KEY }).open(seal(), subject).unsafeCoerce(), content)
+test('a checkpoint is accepted by any gate with the same key', () => {
+  assert.equal(new CheckpointSeal({ key: KEY }).open(signCheckpoint(), expected).unsafeCoerce(), content)
 })
 
-test('the previous key is accepted while keys are changed', () => {
+test('the previous key is accepted during a key rotation', () => {
   const next = new CheckpointSeal({ key: 'the next key in turn', previousKey: KEY })
-  assert.ok(next.open(seal(), subject).isRight())
-  assert.ok(new CheckpointSeal({ key: 'the next key in turn' }).open(seal(), subject).isLeft())
+  assert.ok(next.open(signCheckpoint(), expected).isRight())
+  assert.ok(new CheckpointSeal({ key: 'the next key in turn' }).open(signCheckpoint(), expected).isLeft())
 })
 
 function mutateBit (bytes: Uint8Array, index: number): Uint8Array {
@@ -30,27 +30,27 @@
 
 const refused: readonly (readonly [string, Uint8Array])[] = [
   ['empty', new Uint8Array()],
-  ['too short', seal().subarray(0, 20)],
-  ['another format', mutateBit(seal(), 0)],
-  ['a changed seal', mutateBit(seal(), 5)],
-  ['a changed body', mutateBit(seal(), 60)],
-  ['a foreign key', seal({}, 'some other long key')],
-  ['another customer\'s', seal({ customer: 'other' })],
-  ['another request\'s', seal({ contentDigest: 'other' })],
-  ['another pipeline\'s', seal({ pipeline: 'other' })],
-  ['of stages that changed', seal({ stages: ['a', 'c'] })],
-  ['with no stage left', seal({ stagesDone: 3 })],
-  ['with no stage done', seal({ stagesDone: 0 })]
+  ['too short', signCheckpoint().subarray(0, 20)],
+  ['another format version', mutateBit(signCheckpoint(), 0)],
+  ['a modified signature', mutateBit(signCheckpoint(), 5)],
+  ['a modified body', mutateBit(signCheckpoint(), 60)],
+  ['signed with another key', signCheckpoint({}, 'some other long key')],
+  ['of another customer', signCheckpoint({ customer: 'other' })],
+  ['of another request', signCheckpoint({ contentDigest: 'other' })],
+  ['of another pipeline', signCheckpoint({ pipeline: 'other' })],
+  ['of a pipeline with other stages', signCheckpoint({ stages: ['a', 'c'] })],
+  ['without a stage left to run', signCheckpoint({ stagesDone: 3 })],
+  ['without a finished stage', signCheckpoint({ stagesDone: 0 })]
 ]
 
 for (const [name, bytes] of refused) {
-  test(`${name}: refused by code`, () => {
-    const error = new CheckpointSeal({ key: KEY }).open(bytes, subject).swap().unsafeCoerce()
+  test(`a checkpoint is refused with checkpointInvalid: ${name}`, () => {
+    const error = new CheckpointSeal({ key: KEY }).open(bytes, expected).swap().unsafeCoerce()
     assert.is(error.code, 212)
   })
 }
 
-test('a result that is too large is not handed out', () => {
+test('no checkpoint is returned for a result above the size limit', () => {
   assert.is(new CheckpointSeal({ key: KEY }).seal({ ...content, result: 'x'.repeat(600 * 1024) }), undefined)
 })
 
--- a/src/services/session/test/seenNumbers.test.ts
+++ b/src/services/session/test/seenNumbers.test.ts
@@ -6,7 +6,7 @@
 const SEED = 20261202
 const test = suite('seenNumbers')
 
-test('a number is new once', () => {
+test('a number is new only until it is added', () => {
   const seen = new SeenNumbers()
   assert.is(seen.check(5), 'new')
   seen.add(5)
@@ -14,7 +14,7 @@
   assert.is(seen.check(4), 'new')
 })
 
-test('whatever comes, a number that was seen is never new again, and memory stays bounded', () => {
+test('for any sequence of numbers, a seen number never becomes new again and the number of intervals stays bounded', () => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 400 }), { maxLength: 300 }), fc.integer({ min: 1, max: 8 }), (numbers, maxIntervals) => {
     const seen = new SeenNumbers(maxIntervals)
     const model = new Set<number>()
@@ -31,7 +31,7 @@
   }), { seed: SEED, numRuns: 3000 })
 })
 
-test('numbers in order take no more than one interval', () => {
+test('consecutive numbers need no intervals', () => {
   const seen = new SeenNumbers()
   for (let number = 1; number <= 1000; number++) seen.add(number)
   assert.is(seen.intervalCount, 0)
--- a/src/services/session/test/sessionService.test.ts
+++ b/src/services/session/test/sessionService.test.ts
@@ -8,8 +8,8 @@
 
 function createService (options: Partial<SessionServiceOptions> = {}) {
   const clock = new VirtualClock()
-  let next = 0
-  return { clock, service: new SessionService({ clock, createId: () => `s${++next}`, lifetimeMs: 1000, ...options }) }
+  let lastSessionNumber = 0
+  return { clock, service: new SessionService({ clock, createId: () => `s${++lastSessionNumber}`, lifetimeMs: 1000, ...options }) }
 }
 
 function submit (service: SessionService, sessionId: string, number: number, contentDigest = 'd') {
@@ -20,7 +20,7 @@
   return result.swap().map(error => error.resultName).orDefault('internal')
 }
 
-test('the same number attaches to the run in progress and to the kept answer', () => {
+test('a repeated number attaches to the run in progress and to the retained answer', () => {
   const { service } = createService()
   const session = service.open('c').unsafeCoerce()
   const first = submit(service, session.id, 1).unsafeCoerce()
@@ -35,14 +35,14 @@
   assert.is(service.runningCount, 0)
 })
 
-test('the same number with another content is refused', () => {
+test('a repeated number with different content is refused', () => {
   const { service } = createService()
   const session = service.open('c').unsafeCoerce()
   submit(service, session.id, 1)
   assert.is(readError(submit(service, session.id, 1, 'other')), 'numberReused')
 })
 
-test('a number whose answer was dropped for memory never runs again', () => {
+test('a number whose answer was evicted never runs again', () => {
   const { service } = createService({ maxKeptSize: 10 })
   const session = service.open('c').unsafeCoerce()
   for (const number of [1, 2]) {
@@ -55,7 +55,7 @@
   assert.is(submit(service, session.id, 2).unsafeCoerce().kind, 'attach')
 })
 
-test('an expired session is unknown, and is not forgotten while something of it runs', () => {
+test('an expired session is unknown and is not removed while one of its requests runs', () => {
   const { service, clock } = createService()
   const session = service.open('c').unsafeCoerce()
   const { run } = submit(service, session.id, 1).unsafeCoerce()
@@ -70,7 +70,7 @@
   assert.not(service.sessions.includes(session))
 })
 
-test('sessions are limited in all and for one customer', () => {
+test('the number of sessions is limited in total and per customer', () => {
   const { service } = createService({ maxSessions: 3, maxSessionsPerCustomer: 2 })
   assert.ok(service.open('a').isRight())
   assert.ok(service.open('a').isRight())
@@ -80,7 +80,7 @@
 })
 
 for (const number of [0, -1, 1.5, 2 ** 32]) {
-  test(`the number ${number} is refused`, () => {
+  test(`the request number ${number} is refused`, () => {
     const { service } = createService()
     const session = service.open('c').unsafeCoerce()
     assert.is(readError(submit(service, session.id, number)), 'requestInvalid')
