--- a/src/base/common/address.ts
+++ b/src/base/common/address.ts
@@ -1,5 +1,5 @@
 /**
- * An IP number and a port. Names are not resolved anywhere in the system.
+ * An IP address and a port. Host names are not resolved anywhere in the system.
  */
 export interface Address {
   readonly host: string
@@ -10,7 +10,7 @@
 const MAX_OCTET = 255
 const MAX_PORT = 65535
 
-/** Reads `10.0.0.7:8000` or `[::1]:8000`; undefined for anything else. */
+/** Parses `10.0.0.7:8000` or `[::1]:8000`; returns undefined for anything else. */
 export function parseAddress (text: string): Address | undefined {
   const match = ADDRESS_PATTERN.exec(text)
   if (match === null) return undefined
--- a/src/base/common/boundedSet.ts
+++ b/src/base/common/boundedSet.ts
@@ -1,5 +1,5 @@
 /**
- * A set that remembers so many values at most: the oldest is forgotten first.
+ * A set of bounded size that evicts its oldest value first.
  */
 export class BoundedSet<T> {
   private readonly _values = new Set<T>()
--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -1,20 +1,20 @@
 /**
- * Time as the system sees it: a clock of this process that only grows, and timers on it.
+ * Monotonic clocks of the process, with timers.
  */
 import { toDisposable } from './disposable.ts'
 import type { IDisposable } from './disposable.ts'
 
-/** A monotonic clock. Wall time is used to notice that the machine may have been suspended, and for no other decision. */
+/** A monotonic clock. Wall-clock time is used only to detect that the machine may have been suspended. */
 export interface IClock {
-  /** Milliseconds since some moment of this process. */
+  /** Milliseconds since an arbitrary time in this process. */
   now (): number
-  /** Runs a function once after some milliseconds, unless the result is disposed of before. */
+  /** Runs a function once after the delay, unless the result is disposed of before. */
   schedule (delayMs: number, run: () => void): IDisposable
 }
 
-/** A clock that can be told of time that it left out. */
+/** A clock to which uncounted time can be added. */
 export interface ISuspendableClock extends IClock {
-  /** The machine was suspended for so long: what was scheduled comes due by so much earlier. */
+  /** Adds the time for which the machine was suspended; scheduled functions run that much earlier. */
   addSuspended (ms: number): void
 }
 
@@ -23,7 +23,7 @@
   readonly run: () => void
 }
 
-/** A clock that tests move by hand. */
+/** A clock for tests that advances only when `advance` is called. */
 export class VirtualClock implements ISuspendableClock {
   private _now: number
   private readonly _timers = new Set<Timer>()
@@ -42,7 +42,7 @@
     return toDisposable(() => { this._timers.delete(timer) })
   }
 
-  /** Moves on, running the timers that come due, in their order. */
+  /** Advances the time and runs the timers that are due, in the order of their time. */
   advance (ms: number): void {
     const until = this._now + ms
     for (let timer = this._findNext(until); timer !== undefined; timer = this._findNext(until)) {
--- a/src/base/common/decayingCount.ts
+++ b/src/base/common/decayingCount.ts
@@ -1,20 +1,21 @@
 /**
- * A count that forgets: each item fades with an exponential memory, so the value follows the rate of the last while.
+ * A count with exponential decay: its value is proportional to the recent rate of additions. The time constant is in
+ * milliseconds.
  */
 import type { IClock } from './clock.ts'
 
 export class DecayingCount {
   private _value = 0
-  private _at = 0
+  private _updatedAt = 0
 
-  constructor (private readonly _clock: IClock, private readonly _memoryMs: number) {}
+  constructor (private readonly _clock: IClock, private readonly _timeConstantMs: number) {}
 
   add (amount: number): void {
     this._value = this.value + amount
-    this._at = this._clock.now()
+    this._updatedAt = this._clock.now()
   }
 
   get value (): number {
-    return this._value * Math.exp((this._at - this._clock.now()) / this._memoryMs)
+    return this._value * Math.exp((this._updatedAt - this._clock.now()) / this._timeConstantMs)
   }
 }
--- a/src/base/common/disposable.ts
+++ b/src/base/common/disposable.ts
@@ -1,13 +1,12 @@
 /**
- * Ownership of things that must be released: sockets, timers, subscriptions.
+ * Ownership of resources that must be released: sockets, timers, subscriptions.
  */
 
-/** Something that holds a resource until it is disposed of. */
 export interface IDisposable {
   dispose (): void
 }
 
-/** Wraps a function as a disposable that calls it once. */
+/** Wraps a function as a disposable that calls it at most once. */
 export function toDisposable (release: () => void): IDisposable {
   let released = false
   return {
@@ -19,7 +18,7 @@
   }
 }
 
-/** Gathers disposables and releases them together, the newest first. */
+/** Owns a set of disposables and disposes of them together, the newest first. */
 export class DisposableStore implements IDisposable {
   private readonly _items = new Set<IDisposable>()
   private _isDisposed = false
@@ -28,14 +27,14 @@
     return this._isDisposed
   }
 
-  /** Takes ownership; an item added after disposal is released at once. */
+  /** Takes ownership of an item; one added after disposal of the store is disposed of at once. */
   add<T extends IDisposable>(item: T): T {
     if (this._isDisposed) item.dispose()
     else this._items.add(item)
     return item
   }
 
-  /** Releases one item early. */
+  /** Removes an item and disposes of it. */
   delete (item: IDisposable): void {
     if (this._items.delete(item)) item.dispose()
   }
@@ -48,7 +47,7 @@
   }
 }
 
-/** Base of classes that own disposables. */
+/** Base class of classes that own disposables. */
 export abstract class Disposable implements IDisposable {
   private readonly _store = new DisposableStore()
 
--- a/src/base/common/event.ts
+++ b/src/base/common/event.ts
@@ -1,13 +1,13 @@
 /**
- * Events between objects of one process.
+ * In-process events.
  */
 import { toDisposable } from './disposable.ts'
 import type { IDisposable } from './disposable.ts'
 
-/** Subscribes a listener; disposing of the result unsubscribes it. */
+/** Registers a listener; disposing of the result removes it. */
 export type Event<T> = (listener: (value: T) => void) => IDisposable
 
-/** The firing side of an event. */
+/** Owns the listeners of an event and fires it. */
 export class Emitter<T> implements IDisposable {
   private readonly _listeners = new Set<(value: T) => void>()
 
--- a/src/base/common/random.ts
+++ b/src/base/common/random.ts
@@ -1,18 +1,17 @@
 /**
- * Random numbers from a seed, so that decisions can be repeated in tests.
+ * Seeded random numbers, so that tests can reproduce decisions.
  */
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
 import type { RandomGenerator } from 'pure-rand'
 
 const RESOLUTION = 0x3fffffff
 
-/** A source of random numbers that is passed into decisions. */
 export interface IRandom {
-  /** A number from 0 up to but not including 1. */
+  /** Returns a number from 0 up to but not including 1. */
   next (): number
 }
 
-/** A source that repeats its numbers for the same seed. */
+/** Generates the same numbers for the same seed. */
 export class SeededRandom implements IRandom {
   private readonly _generator: RandomGenerator
 
@@ -25,12 +24,12 @@
   }
 }
 
-/** A number between two others. */
+/** Returns a uniformly distributed number from `low` up to but not including `high`. */
 export function drawBetween (random: IRandom, low: number, high: number): number {
   return low + random.next() * (high - low)
 }
 
-/** A whole number from one up to and including another. */
-export function drawCount (random: IRandom, least: number, most: number): number {
-  return least + Math.floor(random.next() * (most - least + 1))
+/** Returns a uniformly distributed integer from `min` up to and including `max`. */
+export function drawCount (random: IRandom, min: number, max: number): number {
+  return min + Math.floor(random.next() * (max - min + 1))
 }
--- a/src/base/common/rendezvous.ts
+++ b/src/base/common/rendezvous.ts
@@ -1,9 +1,9 @@
 /**
- * Rendezvous hashing: every process ranks the same candidates for a key in the same order,
- * and the loss of one candidate moves only the keys that it held.
+ * Rendezvous hashing: every process ranks the same candidates for a key in the same order, and the removal of a candidate
+ * moves only the keys that were assigned to it.
  */
 
-/** FNV-1a with a final mix over UTF-16 units; a hash for spreading, not for secrets. */
+/** FNV-1a over UTF-16 code units with a finalizer for better distribution; not a cryptographic hash. */
 export function hashText (text: string): number {
   let hash = 0x811c9dc5
   for (let index = 0; index < text.length; index++) {
@@ -17,7 +17,7 @@
   return (hash ^ (hash >>> 16)) >>> 0
 }
 
-/** The candidates in their order of preference for the key. */
+/** Returns the candidates in their order of preference for the key. */
 export function rankByRendezvous (key: string, candidates: readonly string[]): readonly string[] {
   return candidates
     .map(candidate => ({ candidate, score: hashText(`${key}\u0000${candidate}`) }))
--- a/src/base/common/ringBuffer.ts
+++ b/src/base/common/ringBuffer.ts
@@ -1,20 +1,20 @@
 /**
- * A list of bounded length that forgets its oldest items.
+ * A list of bounded length that overwrites its oldest items.
  */
 export class RingBuffer<T> {
   private readonly _items: T[] = []
-  private _next = 0
+  private _nextIndex = 0
 
   constructor (private readonly _capacity: number) {}
 
   add (item: T): void {
-    this._items[this._next] = item
-    this._next = (this._next + 1) % this._capacity
+    this._items[this._nextIndex] = item
+    this._nextIndex = (this._nextIndex + 1) % this._capacity
   }
 
-  /** The items, oldest first. */
+  /** Returns the items, oldest first. */
   list (): readonly T[] {
     if (this._items.length < this._capacity) return [...this._items]
-    return [...this._items.slice(this._next), ...this._items.slice(0, this._next)]
+    return [...this._items.slice(this._nextIndex), ...this._items.slice(0, this._nextIndex)]
   }
 }
--- a/src/base/common/slidingCount.ts
+++ b/src/base/common/slidingCount.ts
@@ -1,5 +1,5 @@
 /**
- * How often something happened within the last while, by key.
+ * Counts events per key within a sliding time window.
  */
 export class SlidingCount {
   private readonly _times = new Map<string, readonly number[]>()
--- a/src/base/node/digest.ts
+++ b/src/base/node/digest.ts
@@ -8,7 +8,7 @@
   return createHash('sha256').update(text).digest('hex')
 }
 
-/** SHA-256 over parts, each with its length before it, so that no two lists of parts look alike; 64 hexadecimal digits. */
+/** SHA-256 as 64 hexadecimal digits. Each part is prefixed with its length, so that different lists of parts never hash the same input. */
 export function hashParts (parts: readonly (string | Uint8Array)[]): string {
   const hash = createHash('sha256')
   for (const part of parts) hash.update(`${Buffer.byteLength(part)}:`).update(part)
--- a/src/base/node/effectClock.ts
+++ b/src/base/node/effectClock.ts
@@ -1,5 +1,5 @@
 /**
- * Lets effects sleep and time out on the process's own clock, so that tests move them by hand.
+ * Adapts the process's clock to effects, so that tests control their sleeps and timeouts with a virtual clock.
  */
 import { Clock, Duration, Effect } from 'effect'
 import type { IClock } from '../common/clock.ts'
--- a/src/base/node/frameConnection.ts
+++ b/src/base/node/frameConnection.ts
@@ -1,5 +1,5 @@
 /**
- * Length-prefixed cbor-x frames over TCP: four bytes of length, big-endian, then the encoded value.
+ * Length-prefixed CBOR frames over TCP: a length of four bytes, big-endian, followed by the encoded value.
  */
 import type { Socket } from 'node:net'
 import { Encoder } from 'cbor-x'
@@ -9,7 +9,7 @@
 const LENGTH_BYTES = 4
 const encoder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
-/** A value as it is sent; one that goes over many connections is encoded once. */
+/** Encodes a value as a frame, so that a value sent over many connections is encoded once. */
 export function createFrame (value: unknown): Buffer {
   const body = encoder.encode(value)
   const head = Buffer.allocUnsafe(LENGTH_BYTES)
@@ -17,18 +17,18 @@
   return Buffer.concat([head, body])
 }
 
-/** A configuration document of 1 MB and its envelope fit with room to spare. */
+/** Large enough for a configuration document of 1 MB and its envelope. */
 export const MAX_FRAME_BYTES = 2 * 1024 * 1024
-/** A receiver that lets so much pile up is cut off; it gets everything anew when it comes back. */
+/** A connection with more unsent data is closed; the receiver is sent the full state when it reconnects. */
 const MAX_UNSENT_BYTES = 16 * 1024 * 1024
 
-/** Why a connection was ended by this side. */
-export type FrameFault = 'frameTooLarge' | 'frameUnreadable'
+/** Why this side closed a connection. */
+export type FrameError = 'frameTooLarge' | 'frameUnreadable'
 
 export class FrameConnection extends Disposable {
   private _pending: Buffer = Buffer.alloc(0)
   private readonly _onDidReceive = this._register(new Emitter<unknown>())
-  private readonly _onDidClose = this._register(new Emitter<FrameFault | undefined>())
+  private readonly _onDidClose = this._register(new Emitter<FrameError | undefined>())
   readonly onDidReceive = this._onDidReceive.event
   readonly onDidClose = this._onDidClose.event
   private _isClosed = false
@@ -49,12 +49,12 @@
     return this._isClosed
   }
 
-  /** Sends one value; nothing happens when the connection is closed. */
+  /** Sends one value; has no effect if the connection is closed. */
   send (value: unknown): void {
     if (!this._isClosed) this.sendFrame(createFrame(value))
   }
 
-  /** Sends what `createFrame` has made. */
+  /** Sends a frame created by `createFrame`. */
   sendFrame (frame: Buffer): void {
     if (this._isClosed) return
     this._socket.write(frame)
@@ -85,11 +85,11 @@
     this._onDidReceive.fire(value)
   }
 
-  private _close (fault?: FrameFault): void {
+  private _close (error?: FrameError): void {
     if (this._isClosed) return
     this._isClosed = true
     this._socket.destroy()
-    this._onDidClose.fire(fault)
+    this._onDidClose.fire(error)
     this.dispose()
   }
 
--- a/src/base/node/systemClock.ts
+++ b/src/base/node/systemClock.ts
@@ -1,15 +1,15 @@
 /**
- * The process's monotonic clock. It goes on while the process is stopped, so a pause can be seen; what it leaves out
- * while the machine is suspended is added once it is known.
+ * The process's monotonic clock. It continues while the process is stopped, so that pauses can be detected. It does not
+ * count the time during which the machine is suspended; that time is added once it is known.
  */
 import { performance } from 'node:perf_hooks'
 import type { ISuspendableClock } from '../common/clock.ts'
 import type { IDisposable } from '../common/disposable.ts'
 
-/** Timers of the operating system that are set for longer come due at once. */
+/** The maximum of setTimeout; longer delays would fire at once. */
 const MAX_DELAY_MS = 2 ** 31 - 1
 
-/** Something that comes due at a moment of the clock, by a timer of the operating system. */
+/** Runs a function at a given time of the clock, with a timer of the operating system. */
 class SystemTimer implements IDisposable {
   private _timeout: NodeJS.Timeout | undefined
 
@@ -51,7 +51,7 @@
 
   addSuspended (ms: number): void {
     this._suspendedMs += ms
-    // Timers of the operating system leave the time out as well.
+    // Timers of the operating system do not count the suspended time either, so they are restarted.
     const now = this.now()
     for (const timer of this._timers) timer.start(now)
   }
--- a/src/base/test/boundedSet.test.ts
+++ b/src/base/test/boundedSet.test.ts
@@ -4,7 +4,7 @@
 
 const test = suite('boundedSet')
 
-test('the oldest value is forgotten first, and one that is added again keeps its place', () => {
+test('the oldest value is evicted first, and a value that is added again keeps its position', () => {
   const set = new BoundedSet<string>(2)
   for (const value of ['a', 'b', 'a', 'c']) set.add(value)
   assert.equal(['a', 'b', 'c'].filter(value => set.has(value)), ['b', 'c'])
--- a/src/base/test/faultRelay.ts
+++ b/src/base/test/faultRelay.ts
@@ -1,5 +1,5 @@
 /**
- * A TCP relay on loopback that injects faults into the connections that go through it, for tests and the soak.
+ * A TCP relay on loopback that injects faults into the relayed connections, for tests and the soak test.
  */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
@@ -8,12 +8,12 @@
 
 export class FaultRelay extends Disposable {
   private readonly _pairs = new Set<RelayedPair>()
-  private _isCut = false
+  private _isBlocked = false
   private _delayMs = 0
 
-  /** Resolves with its port; each connection goes on to the target of the moment. */
+  /** Resolves with the port; each new connection is forwarded to the target that is current when it arrives. */
   listen (getTarget: () => Address, host = '127.0.0.1'): Promise<number> {
-    const server = createServer(near => this._accept(near, getTarget()))
+    const server = createServer(callerSocket => this._accept(callerSocket, getTarget()))
     this._register(toDisposable(() => { server.close() }))
     return new Promise((resolve, reject) => {
       server.once('error', reject)
@@ -21,39 +21,39 @@
     })
   }
 
-  /** The connections that are open now stay open and say nothing more; new ones work. */
+  /** Keeps the current connections open but discards their data; new connections are forwarded. */
   stopForwarding (): void {
-    for (const pair of this._pairs) pair.isSilent = true
+    for (const pair of this._pairs) pair.isForwardingStopped = true
   }
 
-  /** Resets the connections that are open now. */
+  /** Resets the current connections. */
   cancelOpen (): void {
-    for (const pair of this._pairs) pair.cancel()
+    for (const pair of this._pairs) pair.resetSockets()
   }
 
-  /** Nothing gets through, and new connections hang, until healed; what was sent meanwhile is lost. */
+  /** Discards all data, also of new connections. Once traffic is restored, only connections opened from then on are forwarded. */
   cut (): void {
-    this._isCut = true
+    this._isBlocked = true
     this.stopForwarding()
   }
 
   heal (): void {
-    this._isCut = false
+    this._isBlocked = false
   }
 
-  /** Adds a delay to what comes from now on. */
+  /** Delays all data received from now on. */
   setDelay (delayMs: number): void {
     this._delayMs = delayMs
   }
 
-  private _accept (near: Socket, target: Address): void {
-    const pair = new RelayedPair(near, connect({ host: target.host, port: target.port }), () => this._delayMs)
-    pair.isSilent = this._isCut
+  private _accept (callerSocket: Socket, target: Address): void {
+    const pair = new RelayedPair(callerSocket, connect({ host: target.host, port: target.port }), () => this._delayMs)
+    pair.isForwardingStopped = this._isBlocked
     this._pairs.add(pair)
-    const release = this._register(toDisposable(() => pair.cancel()))
-    near.once('close', () => {
-      // The far side of a silent connection never hears of its end.
-      if (pair.isSilent) return
+    const release = this._register(toDisposable(() => pair.resetSockets()))
+    callerSocket.once('close', () => {
+      // The end of a connection that is not forwarded is not reported to the target.
+      if (pair.isForwardingStopped) return
       this._pairs.delete(pair)
       this._release(release)
     })
@@ -61,10 +61,10 @@
 }
 
 class RelayedPair {
-  isSilent = false
+  isForwardingStopped = false
 
-  constructor (private readonly _near: Socket, private readonly _far: Socket, getDelayMs: () => number) {
-    for (const [socket, other] of [[_near, _far], [_far, _near]] as const) {
+  constructor (private readonly _callerSocket: Socket, private readonly _targetSocket: Socket, getDelayMs: () => number) {
+    for (const [socket, other] of [[_callerSocket, _targetSocket], [_targetSocket, _callerSocket]] as const) {
       socket.setNoDelay(true)
       socket.on('error', () => {})
       socket.on('data', data => this._forward(other, data, getDelayMs()))
@@ -72,22 +72,22 @@
     }
   }
 
-  /** A socket that is being shut down cannot be reset any more: the process would wait for its end for ever. */
-  cancel (): void {
-    for (const socket of [this._near, this._far]) {
+  /** A socket that is already ending cannot be reset: the process would wait for its end forever. */
+  resetSockets (): void {
+    for (const socket of [this._callerSocket, this._targetSocket]) {
       if (socket.writableEnded) socket.destroy()
       else socket.resetAndDestroy()
     }
   }
 
   private _forward (target: Socket, data: Buffer, delayMs: number): void {
-    const send = () => { if (!this.isSilent && !target.destroyed) target.write(data) }
+    const send = () => { if (!this.isForwardingStopped && !target.destroyed) target.write(data) }
     if (delayMs > 0) setTimeout(send, delayMs)
     else send()
   }
 
   private _forwardEnd (target: Socket, delayMs: number): void {
-    const end = () => { if (!this.isSilent) target.destroySoon() }
+    const end = () => { if (!this.isForwardingStopped) target.destroySoon() }
     if (delayMs > 0) setTimeout(end, delayMs)
     else end()
   }
--- a/src/base/test/polling.test.ts
+++ b/src/base/test/polling.test.ts
@@ -1,7 +1,7 @@
 /**
- * Symptom: once in a while a fleet of 24 members over real sockets did not start: "listen EADDRINUSE: address already
- * in use". One port had been given to two of its members, as each was free again by the time the next was looked for:
- * so it went in 45 of 1,000 fleets that only drew their ports.
+ * Guards against two listeners of one test getting the same port, which failed the start of a fleet of 24 members with
+ * "listen EADDRINUSE: address already in use". A search for a free port that releases the port at once can return it
+ * again for the next listener: 45 of 1,000 simulated fleets had such a duplicate.
  */
 import { createServer } from 'node:net'
 import { suite } from 'uvu'
@@ -10,9 +10,9 @@
 
 const test = suite('polling')
 
-/** Enough for one port to come twice in nearly every run, where each is drawn anew from some 14,000. */
+/** Enough for a duplicate in nearly every run if each port were chosen independently from about 14,000. */
 const DRAW_COUNT = 600
-/** Where Linux begins to number the ports that it chooses itself, for outgoing connections and listeners on port 0. */
+/** The first ephemeral port of Linux, used for outgoing connections and listeners on port 0. */
 const FIRST_CHOSEN_PORT = 32_768
 
 async function drawPorts (): Promise<readonly number[]> {
@@ -21,22 +21,22 @@
   return ports
 }
 
-test('no two listeners of a process are given the same port', async () => {
+test('successive searches of a process return different ports', async () => {
   const ports = await drawPorts()
   assert.is(new Set(ports).size, DRAW_COUNT)
 })
 
-test('ports that are looked for at the same time are different, too', async () => {
+test('concurrent searches return different ports', async () => {
   const ports = await Promise.all(Array.from({ length: DRAW_COUNT }, findFreePort))
   assert.is(new Set(ports).size, DRAW_COUNT)
 })
 
-test('a port that is given is none that the system gives to others before its listener starts', async () => {
+test('no port is one that the system may assign to others before its listener starts', async () => {
   const ports = await drawPorts()
   assert.equal(ports.filter(port => port < 1024 || port >= FIRST_CHOSEN_PORT), [])
 })
 
-test('a port at which something listens is passed over', async () => {
+test('a port that is in use is skipped', async () => {
   const port = await findFreePort()
   const next = createServer()
   await new Promise<void>(resolve => { next.listen(port + 1, '127.0.0.1', resolve) })
--- a/src/base/test/polling.ts
+++ b/src/base/test/polling.ts
@@ -1,18 +1,18 @@
 /**
- * What tests of real sockets share: ports, and waiting for what comes in its own time.
+ * Helpers of tests with real sockets: free ports, and polling for a condition.
  */
 import { createServer } from 'node:net'
 
 const POLL_MS = 10
-/** Below the ports that Linux chooses itself, from 32,768 on: none of these goes to a connection or to port 0. */
+/** Below the ephemeral ports of Linux, which start at 32,768, so the system assigns none of these to connections or to port 0. */
 const FIRST_PORT = 12_000
 const LAST_PORT = 32_000
-/** Runs beside each other are processes whose numbers differ by little: each looks through ports of its own first. */
+/** Concurrent test runs have similar process ids; with this distance each of them starts its search at ports of its own. */
 const PORTS_PER_PROCESS = 50
 
 let lastPort = FIRST_PORT + (process.pid * PORTS_PER_PROCESS) % (LAST_PORT - FIRST_PORT)
 
-async function isFree (port: number): Promise<boolean> {
+async function isPortFree (port: number): Promise<boolean> {
   const server = createServer()
   const isListening = await new Promise<boolean>(resolve => {
     server.on('error', () => resolve(false))
@@ -22,16 +22,16 @@
   return isListening
 }
 
-/** A port at which nothing listens, never the same twice: an address must be known before its listener starts. */
+/** Returns a free port, never the same twice: tests need to know an address before its listener starts. */
 export async function findFreePort (): Promise<number> {
   const port = lastPort < LAST_PORT ? lastPort + 1 : FIRST_PORT
   lastPort = port
-  return await isFree(port) ? port : await findFreePort()
+  return await isPortFree(port) ? port : await findFreePort()
 }
 
-/** Whether something came true within a time. */
+/** Polls a condition; returns whether it became true within the time. */
 export async function waitUntil (isTrue: () => boolean, maxMs: number): Promise<boolean> {
-  const until = performance.now() + maxMs
-  while (!isTrue() && performance.now() < until) await new Promise(resolve => { setTimeout(resolve, POLL_MS) })
+  const deadline = performance.now() + maxMs
+  while (!isTrue() && performance.now() < deadline) await new Promise(resolve => { setTimeout(resolve, POLL_MS) })
   return isTrue()
 }
--- a/src/base/test/systemClock.test.ts
+++ b/src/base/test/systemClock.test.ts
@@ -5,7 +5,7 @@
 
 const test = suite('systemClock')
 
-test('time that was left out makes the clock go on, and what is due comes at once', async () => {
+test('adding suspended time advances the clock, and timers that are due run at once', async () => {
   const clock = new SystemClock()
   const startedAt = clock.now()
   const ran: string[] = []
@@ -21,7 +21,7 @@
   assert.equal(ran, ['due'])
 })
 
-test('the longest time that can be asked for does not come due at once', async () => {
+test('a timer with the maximum delay does not run at once', async () => {
   const clock = new SystemClock()
   let count = 0
   const timers = Array.from({ length: 200 }, () => clock.schedule(2 ** 31 - 1, () => { count++ }))
--- a/src/entryNode/callerDirectory.ts
+++ b/src/entryNode/callerDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Which nodes callers are told to use, by where they are and by the homes of the routes that they want.
+ * Chooses the nodes that callers should use, by the callers' location and the home regions of the requested routes.
  */
 import type { RelayTable } from '../services/relay/common/relayTable.ts'
 import type { FactStore } from '../services/facts/common/factStore.ts'
@@ -16,7 +16,7 @@
   readonly regions: HallRegions
   readonly hall: string
   readonly getTable: () => RelayTable | undefined
-  /** Where callers reach this node; undefined while they should not. */
+  /** The address at which callers reach this node; undefined while they should not use it. */
   readonly getOwnAddress: () => string | undefined
   readonly getMaxKeepMs: () => number
 }
@@ -24,7 +24,7 @@
 export class CallerDirectory {
   constructor (private readonly _options: CallerDirectoryOptions) {}
 
-  /** Which addresses callers should use, and for how long: where their host's routes have homes, in these or near them. */
+  /** Returns the addresses that callers should use and for how long; prefers the home regions of the routes of their host. */
   locate ({ host, hall, region }: CallerPlace): AddressAnswer {
     const { clock, facts, membership, regions, hall: ownHall, getTable, getOwnAddress, getMaxKeepMs } = this._options
     const homes = getTable()?.listHomeRegions(host) ?? []
@@ -35,7 +35,7 @@
       hall,
       own: getOwnAddress(),
       ownHall,
-      isHome: homes.length === 0 ? undefined : other => [region, ...homes].includes(regions.findRegion(other) ?? ''),
+      isHome: homes.length === 0 ? undefined : nodeHall => [region, ...homes].includes(regions.findRegion(nodeHall) ?? ''),
       maxKeepMs: getMaxKeepMs()
     })
   }
--- a/src/entryNode/coordinatorDirectory.ts
+++ b/src/entryNode/coordinatorDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * The coordinators of all live nodes, and the one that each hall has. Nodes ask with every request, and members rarely
- * change, so both are kept until they do.
+ * The coordinators of all live nodes, and the coordinator chosen for each hall. Both are looked up for every request and
+ * members rarely change, so they are cached until the list of live members changes.
  */
 import { parseAddress } from '../base/common/address.ts'
 import type { Member } from '../services/membership/common/membershipTable.ts'
@@ -8,15 +8,15 @@
 import type { CoordinatorCandidate } from '../services/preparation/common/coordinatorChoice.ts'
 
 export interface CoordinatorDirectoryOptions {
-  /** The same list until a member changes. */
-  readonly listLive: () => readonly Member[]
-  /** Coordinators listen on this port of each host. */
+  /** Returns the same array until a member changes. */
+  readonly listLiveMembers: () => readonly Member[]
+  /** The port on which coordinators listen on every host. */
   readonly port: number
 }
 
 export class CoordinatorDirectory {
   private readonly _options: CoordinatorDirectoryOptions
-  private _live: readonly Member[] = []
+  private _liveMembers: readonly Member[] = []
   private _coordinators: readonly CoordinatorCandidate[] = []
   private readonly _byHall = new Map<string, string | undefined>()
 
@@ -24,25 +24,25 @@
     this._options = options
   }
 
-  /** The same list until a member changes. */
-  list (): readonly CoordinatorCandidate[] {
-    const live = this._options.listLive()
-    if (live === this._live) return this._coordinators
-    this._live = live
-    this._coordinators = live.map(member => ({ ...member, address: this.formatAddress(member.address) }))
+  /** Returns the same array until a member changes. */
+  listCoordinators (): readonly CoordinatorCandidate[] {
+    const live = this._options.listLiveMembers()
+    if (live === this._liveMembers) return this._coordinators
+    this._liveMembers = live
+    this._coordinators = live.map(member => ({ ...member, address: this.formatCoordinatorAddress(member.address) }))
     this._byHall.clear()
     return this._coordinators
   }
 
-  /** The address of the coordinator that all nodes with the same members choose for a hall. */
-  find (hall: string): string | undefined {
-    const coordinators = this.list()
+  /** Returns the address of a hall's coordinator. All nodes with the same list of members choose the same one. */
+  findForHall (hall: string): string | undefined {
+    const coordinators = this.listCoordinators()
     if (!this._byHall.has(hall)) this._byHall.set(hall, chooseCoordinator(coordinators, hall))
     return this._byHall.get(hall)
   }
 
-  /** Where the coordinator of the member at an address is reached. */
-  formatAddress (member: string): string {
+  /** Returns the address of the coordinator on the host of a member. */
+  formatCoordinatorAddress (member: string): string {
     return `${parseAddress(member)?.host ?? ''}:${this._options.port}`
   }
 }
--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -1,7 +1,7 @@
 /**
- * A node: one process a host that relays callers' requests to upstreams and keeps its own view of the fleet. It holds
- * the parts of a gate and a steward, joined in memory; how callers, upstreams and the configuration's source speak is
- * given to it.
+ * A node: one process per host that relays callers' requests to upstreams and tracks the state of the fleet by itself. It
+ * combines the functions of a gate and a steward in one process. The protocols of callers and upstreams and the sources
+ * of configuration and upstreams are passed in.
  */
 import { Agent } from 'node:http'
 import { parseAddress } from '../base/common/address.ts'
@@ -51,10 +51,10 @@
 import { createNodeGauges } from './nodeGauges.ts'
 import { NodeMetrics } from './nodeMetrics.ts'
 import { NodeQuota } from './nodeQuota.ts'
-import { NodeReport } from './nodeReport.ts'
+import { NodeStatusReporter } from './nodeReport.ts'
 import type { NodeSettings } from './nodeSettings.ts'
 import { NodeStatements } from './nodeStatements.ts'
-import { PlannedStop } from './plannedStop.ts'
+import { GracefulShutdown } from './plannedStop.ts'
 import { createStatementsHandler } from './statementsHandler.ts'
 import { UpstreamSharing } from './upstreamSharing.ts'
 
@@ -63,7 +63,7 @@
   readonly clock: ISuspendableClock
   readonly random: IRandom
   readonly log: ILogService
-  /** Grows with each boot of the host. */
+  /** Increases with each process start on the host. */
   readonly incarnation: number
   readonly callerProtocol: CallerProtocol
   readonly upstreamProtocol: UpstreamProtocol
@@ -72,51 +72,51 @@
   readonly upstreamSource: UpstreamSource
 }
 
-/** How often a node looks whether it has something new to say of itself. */
-const REPORT_PERIOD_MS = 200
-/** A connection to an upstream that was idle for so long may be closed there at any moment. */
-const IDLE_CONNECTION_MS = 3000
-/** How long a starting node waits for the source and its peers before it goes on with what it has. */
-const READY_WAIT_MS = 3000
-/** Until nodes know each other, each coordinates its own jobs; after a loss of power they start in any order. */
-const SEED_PERIOD_MS = 200
-const LOAD_MEMORY_MS = 5000
-/** The part of the fleet's retries that is handed out; the rest covers what nodes see differently. */
-const RETRY_SAFETY = 0.8
-/** A document reaches 195 nodes in three steps of some 50 ms each; it has to be in force within 2 s. */
-const MISSED_DOCUMENT_MS = 600
-/** Changes of members within this time move jobs once. */
-const MOVE_DELAY_MS = 40
+/** How often a node checks whether its own status has to be published again. */
+const STATUS_CHECK_PERIOD_MS = 200
+/** Idle connections are closed after this time, because the upstream may close them at any moment from then on. */
+const UPSTREAM_IDLE_TIMEOUT_MS = 3000
+/** How long a starting or resumed node waits for the source and its peers before it continues with the state it has. */
+const READINESS_TIMEOUT_MS = 3000
+/** Kept short: nodes that have not joined yet coordinate only their own jobs, and after a power loss they start in any order. */
+const SEED_CONTACT_PERIOD_MS = 200
+const LOAD_TIME_CONSTANT_MS = 5000
+/** Fraction of the fleet-wide retry budget that nodes use; the rest covers differences between the nodes' views of the fleet. */
+const RETRY_BUDGET_FRACTION = 0.8
+/** Gossip takes three hops of about 50 ms each to reach 195 nodes, and a document must be in force within 2 s. */
+const MISSED_DOCUMENT_TIMEOUT_MS = 600
+/** Membership changes within this time are combined into one reassignment of jobs. */
+const JOB_MOVE_DELAY_MS = 40
 
 export class EntryNode extends Disposable {
   private readonly _options: EntryNodeOptions
-  private readonly _member: FleetMember
+  private readonly _fleetMember: FleetMember
   private readonly _registry = this._register(new UpstreamRegistry())
-  private readonly _regions: HallRegions
-  private readonly _directory: CallerDirectory
-  private readonly _pause: PauseDetector
-  private readonly _recovery: PauseRecovery
-  private readonly _recent: DecayingCount
+  private readonly _hallRegions: HallRegions
+  private readonly _callerDirectory: CallerDirectory
+  private readonly _pauseDetector: PauseDetector
+  private readonly _pauseRecovery: PauseRecovery
+  private readonly _recentRequestCount: DecayingCount
   private readonly _metrics: NodeMetrics
   private readonly _quarantine: QuarantineService
   private readonly _quota: NodeQuota
   private readonly _statements: NodeStatements
-  private readonly _relay: RelayServer
+  private readonly _relayServer: RelayServer
   private readonly _coordinator: PreparationCoordinator
-  private readonly _preparation: PreparationClient
+  private readonly _preparationClient: PreparationClient
   private readonly _preparationServer: PreparationServer
   private readonly _onDidStop = this._register(new Emitter<void>())
-  /** What this node tells others of the source of upstreams and configuration, and is told by them. */
+  /** Exchanges changes read from the source of upstreams and configuration with the other nodes. */
   readonly feed: FeedService
-  /** Fired at the end of a planned stop. */
+  /** Fires at the end of a graceful shutdown. */
   readonly onDidStop = this._onDidStop.event
   private _settings: NodeSettings
-  private _table: RelayTable | undefined
-  private readonly _report: NodeReport
+  private _relayTable: RelayTable | undefined
+  private readonly _statusReporter: NodeStatusReporter
   private _isDraining = false
   private readonly _startedAt: number
-  private readonly _sharing: UpstreamSharing
-  private _isMoving = false
+  private readonly _upstreamSynchronizer: UpstreamSharing
+  private _isJobMoveScheduled = false
 
   constructor (options: EntryNodeOptions) {
     super()
@@ -124,138 +124,137 @@
     this._settings = options.settings
     const { clock, log, random, settings } = options
     this._startedAt = clock.now()
-    this._regions = new HallRegions(settings.hall_regions)
-    this._pause = new PauseDetector({ clock, getTimeOfDay: Date.now })
-    this._recent = new DecayingCount(clock, LOAD_MEMORY_MS)
-    this._member = this._register(new FleetMember({
+    this._hallRegions = new HallRegions(settings.hall_regions)
+    this._pauseDetector = new PauseDetector({ clock, getTimeOfDay: Date.now })
+    this._recentRequestCount = new DecayingCount(clock, LOAD_TIME_CONSTANT_MS)
+    this._fleetMember = this._register(new FleetMember({
       ...options,
       address: settings.address,
       hall: settings.hall,
       listSeeds: () => this._settings.seeds,
-      readyWaitMs: READY_WAIT_MS,
+      readyWaitMs: READINESS_TIMEOUT_MS,
       isSourceNewest: true,
-      seedPeriodMs: SEED_PERIOD_MS,
+      seedPeriodMs: SEED_CONTACT_PERIOD_MS,
       hasGates: false,
       weight: Math.round(settings.core_share * settings.core_speed * 100)
     }))
-    this._recovery = this._register(new PauseRecovery({
+    this._pauseRecovery = this._register(new PauseRecovery({
       clock,
       log,
-      detector: this._pause,
-      comparePeerClocks: () => this._member.gossip.compareClocks(),
-      refreshState: () => this._readAnew()
+      detector: this._pauseDetector,
+      comparePeerClocks: () => this._fleetMember.gossip.compareClocks(),
+      refreshState: () => this._refreshState()
     }))
-    this._register(this._member.gossip.onDidCompareClocks(gainMs => this._recovery.recordPeerClockGain(gainMs)))
+    this._register(this._fleetMember.gossip.onDidCompareClocks(gainMs => this._pauseRecovery.recordPeerClockGain(gainMs)))
     this.feed = this._register(new FeedService({
       own: settings,
       clock,
       log,
-      links: this._member.gossip,
-      listMembers: () => this._member.membership.listLive(),
-      hasMembers: () => this._member.hasJoined
+      links: this._fleetMember.gossip,
+      listMembers: () => this._fleetMember.membership.listLive(),
+      hasMembers: () => this._fleetMember.hasJoined
     }))
-    const getTable = () => this._table
-    this._directory = new CallerDirectory({
+    const getTable = () => this._relayTable
+    this._callerDirectory = new CallerDirectory({
       clock,
-      facts: this._member.facts,
-      membership: this._member.membership,
-      regions: this._regions,
+      facts: this._fleetMember.facts,
+      membership: this._fleetMember.membership,
+      regions: this._hallRegions,
       hall: settings.hall,
       getTable,
       getOwnAddress: () => this.isReady ? this._settings.callers_address : undefined,
       getMaxKeepMs: () => this._settings.keep_s * 1000
     })
-    const links = this._register(new CoordinatorLinks({ clock, log }))
-    const coordinators = new CoordinatorDirectory({ listLive: () => this._member.membership.listLive(), port: settings.preparation_port })
-    const coordinatorAddress = coordinators.formatAddress(settings.address)
+    const coordinatorLinks = this._register(new CoordinatorLinks({ clock, log }))
+    const coordinatorDirectory = new CoordinatorDirectory({ listLiveMembers: () => this._fleetMember.membership.listLive(), port: settings.preparation_port })
+    const coordinatorAddress = coordinatorDirectory.formatCoordinatorAddress(settings.address)
     this._quota = this._register(new NodeQuota({
       clock,
       log,
-      facts: this._member.facts,
+      facts: this._fleetMember.facts,
       registry: this._registry,
-      links,
+      links: coordinatorLinks,
       node: settings.address,
       incarnation: options.incarnation,
       coordinatorAddress,
-      findCoordinator: hall => coordinators.find(hall),
-      mayOwn: () => this._member.hasJoined && !this._isDraining && !this._pause.isStale,
-      membership: this._member.membership,
+      findCoordinator: hall => coordinatorDirectory.findForHall(hall),
+      canOwnQuotas: () => this._fleetMember.hasJoined && !this._isDraining && !this._pauseDetector.isStale,
+      membership: this._fleetMember.membership,
       getTable,
-      coldShare: settings.cold_share,
-      coldSpare: settings.cold_spare
+      coldRateMultiplier: settings.cold_share,
+      extraColdRequestsPerS: settings.cold_spare
     }))
-    this._statements = this._register(new NodeStatements({ clock, log, registry: this._registry, noteRate: (upstream, perS) => this._quota.stated.recordLimit(upstream, perS) }))
+    this._statements = this._register(new NodeStatements({ clock, log, registry: this._registry, noteRate: (upstream, perS) => this._quota.statedLimits.recordLimit(upstream, perS) }))
     const { backoffs, guard } = this._statements
-    const protocol = new BackoffPieceCalls(new RateLimitedPieceCalls(options.pieceProtocol, this._quota.service), backoffs, clock)
-    this._register(protocol.onDidReceiveStatement(stated => this._statements.note(stated)))
-    this._coordinator = this._register(new PreparationCoordinator({ clock, log, protocol, registry: this._registry, getTable, limits: this._quota.limits, guard }))
-    this._preparationServer = this._register(new PreparationServer(this._coordinator, log, (upstream, limit) => this._quota.answer(upstream, limit)))
-    this._preparation = this._register(new PreparationClient({
+    const pieceProtocol = new BackoffPieceCalls(new RateLimitedPieceCalls(options.pieceProtocol, this._quota.service), backoffs, clock)
+    this._register(pieceProtocol.onDidReceiveStatement(batch => this._statements.note(batch)))
+    this._coordinator = this._register(new PreparationCoordinator({ clock, log, protocol: pieceProtocol, registry: this._registry, getTable, limits: this._quota.limits, guard }))
+    this._preparationServer = this._register(new PreparationServer(this._coordinator, log, (upstream, limit) => this._quota.acquireForPeer(upstream, limit)))
+    this._preparationClient = this._register(new PreparationClient({
       clock,
       log,
-      protocol,
-      links,
+      protocol: pieceProtocol,
+      links: coordinatorLinks,
       registry: this._registry,
       coordinator: this._coordinator,
-      isMembershipKnown: () => this._member.hasJoined,
-      onDidReceiveMembers: this._member.onDidJoin,
+      isMembershipKnown: () => this._fleetMember.hasJoined,
+      onDidReceiveMembers: this._fleetMember.onDidJoin,
       address: coordinatorAddress,
-      listCoordinators: () => coordinators.list(),
-      listPieceUpstreams: () => (this._table?.listPieceRoles() ?? []).flatMap(role => this._registry.listAvailable(role.name))
+      listCoordinators: () => coordinatorDirectory.listCoordinators(),
+      listPieceUpstreams: () => (this._relayTable?.listPieceRoles() ?? []).flatMap(role => this._registry.listAvailable(role.name))
     }))
-    this._quarantine = this._register(new QuarantineService({ clock, log, facts: this._member.facts, registry: this._registry, node: settings.address, incarnation: options.incarnation }))
-    const agent = new Agent({ keepAlive: true, timeout: IDLE_CONNECTION_MS, scheduling: 'lifo' })
+    this._quarantine = this._register(new QuarantineService({ clock, log, facts: this._fleetMember.facts, registry: this._registry, node: settings.address, incarnation: options.incarnation }))
+    const agent = new Agent({ keepAlive: true, timeout: UPSTREAM_IDLE_TIMEOUT_MS, scheduling: 'lifo' })
     this._register(toDisposable(() => agent.destroy()))
-    this._relay = this._register(new RelayServer({
+    this._relayServer = this._register(new RelayServer({
       context: {
         clock,
         random,
         log,
         hall: settings.hall,
-        regions: this._regions,
+        regions: this._hallRegions,
         agent,
         upstreamProtocol: options.upstreamProtocol,
         registry: this._registry,
         pool: new RelayPool({ clock, registry: this._registry, router: new AffinityRouter({ random }), createHealth: () => new EjectingTracker(), countNodes: () => this.countNodes(), hasTerminated: id => this._quarantine.hasEnded(id), quota: this._quota.service, backoffs }),
         guard,
         backoffs,
-        recordStatements: stated => this._statements.note(stated),
+        recordStatements: batch => this._statements.note(batch),
         quota: this._quota.service,
-        retry: new WindowedRetryBudget({ clock, windowMs: settings.retry_window_s * 1000, retryRatio: settings.retry_share * RETRY_SAFETY, getBaseRetries: () => settings.retry_spare * RETRY_SAFETY / this.countNodes() }),
-        preparation: this._preparation,
+        retry: new WindowedRetryBudget({ clock, windowMs: settings.retry_window_s * 1000, retryRatio: settings.retry_share * RETRY_BUDGET_FRACTION, getBaseRetries: () => settings.retry_spare * RETRY_BUDGET_FRACTION / this.countNodes() }),
+        preparation: this._preparationClient,
         releaseDelay: new ReleaseDelay(),
         quarantine: this._quarantine
       },
       callerProtocol: options.callerProtocol,
       getTable,
       describeConfiguration: () => this._describeConfiguration(),
-      findReadinessError: () => this._findObstacle(),
-      estimateReadinessDelayMs: () => estimateReadyMs({ isOutage: this._member.isReady && this._table === undefined, sinceMs: clock.now() - this._startedAt })
+      findReadinessError: () => this._findReadinessError(),
+      estimateReadinessDelayMs: () => estimateReadyMs({ isOutage: this._fleetMember.isReady && this._relayTable === undefined, sinceMs: clock.now() - this._startedAt })
     }))
-    this._metrics = new NodeMetrics(createNodeGauges({ clock, relay: this._relay, member: this._member, registry: this._registry, coordinator: this._coordinator, quota: this._quota, statements: this._statements, quarantine: this._quarantine, pause: this._pause }))
-    this._register(this._statements.onDidNote(kind => this._metrics.countStatement(kind)))
-    this._report = new NodeReport({
+    this._metrics = new NodeMetrics(createNodeGauges({ clock, relay: this._relayServer, member: this._fleetMember, registry: this._registry, coordinator: this._coordinator, quota: this._quota, statements: this._statements, quarantine: this._quarantine, pause: this._pauseDetector }))
+    this._register(this._statements.onDidRecordStatement(kind => this._metrics.countStatement(kind)))
+    this._statusReporter = new NodeStatusReporter({
       clock,
-      facts: this._member.facts,
+      facts: this._fleetMember.facts,
       address: settings.callers_address,
       hall: settings.hall,
       incarnation: options.incarnation,
-      getState: () => ({ isReady: this.isReady, isDraining: this._isDraining, inFlight: this._relay.activeRequestCount, recentRequests: Math.round(this._recent.value), configuration: this._member.configuration.number }),
-      onDidReport: ({ isDraining }) => this._member.gossip.spreadNow(isDraining)
+      getStatus: () => ({ isReady: this.isReady, isDraining: this._isDraining, inFlight: this._relayServer.activeRequestCount, recentRequests: Math.round(this._recentRequestCount.value), configuration: this._fleetMember.configuration.number }),
+      onDidReport: ({ isDraining }) => this._fleetMember.gossip.spreadNow(isDraining)
     })
-    this._register(this._relay.onDidEnd(ended => this._noteEnd(ended)))
-    this._register(this._member.configuration.onDidAccept(accepted => this._apply(accepted)))
-    this._sharing = this._register(new UpstreamSharing({ clock, log, facts: this._member.facts, registry: this._registry, source: options.upstreamSource, getColdMs: role => this._table?.getRole(role)?.coldMs ?? 0 }))
-    this._register(this._member.facts.onDidChange(fact => { if (fact.value.kind === 'member') this._scheduleMove() }))
-    this._register(this._member.onDidJoin(() => this._scheduleMove()))
+    this._register(this._relayServer.onDidEnd(ended => this._recordCompletion(ended)))
+    this._register(this._fleetMember.configuration.onDidAccept(accepted => this._applyConfiguration(accepted)))
+    this._upstreamSynchronizer = this._register(new UpstreamSharing({ clock, log, facts: this._fleetMember.facts, registry: this._registry, source: options.upstreamSource, getColdMs: role => this._relayTable?.getRole(role)?.coldMs ?? 0 }))
+    this._register(this._fleetMember.facts.onDidChange(fact => { if (fact.value.kind === 'member') this._scheduleJobMove() }))
+    this._register(this._fleetMember.onDidJoin(() => this._scheduleJobMove()))
     for (const source of [options.configurationSource, options.upstreamSource]) this._register(source)
-    this._register(options.configurationSource.onDidRead(document => this._member.offer(document)))
-    this._register(options.configurationSource.onDidMiss(revision => this._readMissed(revision)))
+    this._register(options.configurationSource.onDidRead(document => this._fleetMember.offer(document)))
+    this._register(options.configurationSource.onDidMiss(revision => this._scheduleMissedRead(revision)))
   }
 
-  /** Whether callers should use this node. */
   get isReady (): boolean {
-    return !this._isDraining && this._findObstacle() === undefined
+    return !this._isDraining && this._findReadinessError() === undefined
   }
 
   async start (): Promise<void> {
@@ -264,122 +263,122 @@
     const address = parseAddress(settings.address)
     const callers = parseAddress(settings.callers_address)
     if (address === undefined || callers === undefined) throw new PepperwoodError({ name: 'settingsInvalid', message: 'bad address', place: 'address' })
-    await this._member.listen(address)
+    await this._fleetMember.listen(address)
     await this._preparationServer.listen(address.host, settings.preparation_port)
-    await this._relay.listen(callers.host, callers.port)
+    await this._relayServer.listen(callers.host, callers.port)
     await this._serveMetrics(address.host)
-    this._recovery.start()
-    this._register(startInterval(REPORT_PERIOD_MS, () => this._report.refresh()))
-    this._sharing.start()
+    this._pauseRecovery.start()
+    this._register(startInterval(STATUS_CHECK_PERIOD_MS, () => this._statusReporter.reportIfChanged()))
+    this._upstreamSynchronizer.start()
     configurationSource.start()
-    await this._member.join(configurationSource.readNewest())
-    this._report.refresh()
+    await this._fleetMember.join(configurationSource.readNewest())
+    this._statusReporter.reportIfChanged()
   }
 
-  /** Requests are served also where the metrics' port is taken. */
+  /** A failure to listen on the metrics port does not prevent the node from serving requests. */
   private async _serveMetrics (host: string): Promise<void> {
     const port = this._options.settings.metrics_port
     if (port === undefined) return
     try {
-      await this._register(new MetricsServer(this._metrics.metrics, [createQuarantineHandler(this._quarantine, this._options.clock), createLimitsHandler(this._quota.stated), createStatementsHandler({ clock: this._options.clock, registry: this._registry, facts: this._member.facts, backoffs: this._statements.backoffs })])).listen(host, port)
+      await this._register(new MetricsServer(this._metrics.metrics, [createQuarantineHandler(this._quarantine, this._options.clock), createLimitsHandler(this._quota.statedLimits), createStatementsHandler({ clock: this._options.clock, registry: this._registry, facts: this._fleetMember.facts, backoffs: this._statements.backoffs })])).listen(host, port)
     } catch (thrown) {
       this._options.log.warn('metrics_unavailable', { port, reason: String(thrown) })
     }
   }
 
-  /** Which addresses callers should use, and for how long. */
+  /** Returns the addresses that callers should use, and for how long they may cache them. */
   locate (place: CallerPlace): AddressAnswer {
-    return this._directory.locate(place)
+    return this._callerDirectory.locate(place)
   }
 
-  /** Takes in settings that may change while the process runs; the others need a new start. */
+  /** Applies the settings that may change at runtime; all others need a restart. */
   applySettings (settings: NodeSettings): void {
     this._options.log.info('reloaded', { node: settings.name, seeds: settings.seeds.join(',') })
     this._settings = { ...this._settings, seeds: settings.seeds, keep_s: settings.keep_s, stop_grace_s: settings.stop_grace_s }
   }
 
-  /** A planned stop: peers are told, callers are sent elsewhere, and what runs is finished. */
+  /** Shuts down gracefully: notifies peers, redirects callers to other nodes and completes the requests in progress. */
   async stop (): Promise<void> {
     if (this._isDraining) return
     const { clock, log } = this._options
     const graceMs = this._settings.stop_grace_s * 1000
-    const ending = new PlannedStop({ clock, relay: this._relay, graceMs })
+    const shutdown = new GracefulShutdown({ clock, relay: this._relayServer, graceMs })
     this._isDraining = true
-    log.info('stopping', { open: this._relay.activeRequestCount, grace_ms: graceMs })
-    this._report.refresh()
-    this._relay.drain()
-    await this._member.leave()
-    if (this._preparation.hasOtherCoordinator()) this._coordinator.drain()
-    await ending.run()
-    log.info('stopped', { open: this._relay.activeRequestCount, took_ms: Math.round(ending.tookMs) })
+    log.info('stopping', { open: this._relayServer.activeRequestCount, grace_ms: graceMs })
+    this._statusReporter.reportIfChanged()
+    this._relayServer.drain()
+    await this._fleetMember.leave()
+    if (this._preparationClient.hasOtherCoordinator()) this._coordinator.drain()
+    await shutdown.run()
+    log.info('stopped', { open: this._relayServer.activeRequestCount, took_ms: Math.round(shutdown.elapsedMs) })
     this._onDidStop.fire()
     this.dispose()
   }
 
   private _describeConfiguration (): string {
-    const { current, number } = this._member.configuration
+    const { current, number } = this._fleetMember.configuration
     const ageMs = current === undefined ? 0 : this._options.clock.now() - current.acceptedAt
     return `${formatNumber(number)} for ${Math.round(ageMs)} ms`
   }
 
-  private _findObstacle (): PepperwoodError | undefined {
-    if (!this._member.isReady || this._table === undefined) return new PepperwoodError({ name: 'gateNotReady', message: 'no configuration is known yet' })
-    if (this._pause.isStale) return new PepperwoodError({ name: 'gateNotReady', message: 'what is known is from before a pause' })
+  private _findReadinessError (): PepperwoodError | undefined {
+    if (!this._fleetMember.isReady || this._relayTable === undefined) return new PepperwoodError({ name: 'gateNotReady', message: 'no configuration is known yet' })
+    if (this._pauseDetector.isStale) return new PepperwoodError({ name: 'gateNotReady', message: 'the state of this node may be outdated after a process pause' })
     return undefined
   }
 
-  /** Peers hand a new document on within this time, or this node reads it by itself. */
-  private _readMissed (revision: number): void {
-    this._options.clock.schedule(MISSED_DOCUMENT_MS, () => {
-      const held = this._member.configuration.current?.revision ?? 0
-      if (!this._isDisposed && held < revision) void this._options.configurationSource.readNewest()
+  /** Reads a missed document from the source, unless a peer has forwarded it within MISSED_DOCUMENT_TIMEOUT_MS. */
+  private _scheduleMissedRead (revision: number): void {
+    this._options.clock.schedule(MISSED_DOCUMENT_TIMEOUT_MS, () => {
+      const currentRevision = this._fleetMember.configuration.current?.revision ?? 0
+      if (!this._isDisposed && currentRevision < revision) void this._options.configurationSource.readNewest()
     })
   }
 
-  /** What changed while this process stood still: configuration, upstreams, members. */
-  private async _readAnew (): Promise<void> {
+  /** Refreshes configuration, upstreams and members, which may have changed while the process was paused. */
+  private async _refreshState (): Promise<void> {
     const { configurationSource } = this._options
-    this._quota.forgetOwned()
+    this._quota.resetOwnership()
     this._statements.backoffs.expireBackoffs()
-    this._member.askPeers()
-    await Promise.race([configurationSource.readNewest(), waitFor(READY_WAIT_MS)])
+    this._fleetMember.askPeers()
+    await Promise.race([configurationSource.readNewest(), waitFor(READINESS_TIMEOUT_MS)])
   }
 
-  private _apply (accepted: AcceptedConfiguration): void {
+  private _applyConfiguration (accepted: AcceptedConfiguration): void {
     const { relay } = accepted.configuration
     if (relay === undefined) return
-    this._table = new RelayTable(relay)
-    this._checkHomes(this._table)
-    this._relay.applyLimits(relay.limits)
+    this._relayTable = new RelayTable(relay)
+    this._checkHomeRegions(this._relayTable)
+    this._relayServer.applyLimits(relay.limits)
     this._coordinator.refresh()
   }
 
-  /** A home that no hall lies in keeps binding: its requests are refused, and operators see why. */
-  private _checkHomes (table: RelayTable): void {
+  /** A home region without any hall stays in force, so its requests are refused; the warning tells operators why. */
+  private _checkHomeRegions (table: RelayTable): void {
     for (const { of, regions } of table.listAllHomeRegions()) {
-      for (const region of this._regions.listUnknown(regions)) this._options.log.warn('home_unknown', { of, region })
+      for (const region of this._hallRegions.listUnknown(regions)) this._options.log.warn('home_unknown', { of, region })
     }
   }
 
-  /** Nodes taken for alive, this one included. */
+  /** Counts the nodes considered alive, including this one. */
   countNodes (): number {
-    return this._member.membership.countLive()
+    return this._fleetMember.membership.countLive()
   }
 
-  private _noteEnd (ended: CompletedRequest): void {
-    this._recent.add(1)
-    this._metrics.record(ended)
+  private _recordCompletion (ended: CompletedRequest): void {
+    this._recentRequestCount.add(1)
+    this._metrics.recordRequest(ended)
     const { id, route, customer, elapsedMs, end } = ended
     this._options.log.info('request_ended', { request: id, route, customer, result: end.result, attempts: end.attempts, prepared_ms: end.preparedMs, produced_ms: end.producedMs, upstream: end.lastUpstream, known_revision: formatPosition(end.known.revision), known_age_ms: Math.round(end.known.ageMs), took_ms: Math.round(elapsedMs) })
   }
 
-  /** Members become known one after the other. */
-  private _scheduleMove (): void {
-    if (this._isMoving) return
-    this._isMoving = true
-    this._options.clock.schedule(MOVE_DELAY_MS, () => {
-      this._isMoving = false
-      if (!this._isDisposed) this._preparation.moveMisplacedJobs()
+  /** Delays the reassignment of jobs, because members are usually discovered one after the other. */
+  private _scheduleJobMove (): void {
+    if (this._isJobMoveScheduled) return
+    this._isJobMoveScheduled = true
+    this._options.clock.schedule(JOB_MOVE_DELAY_MS, () => {
+      this._isJobMoveScheduled = false
+      if (!this._isDisposed) this._preparationClient.moveMisplacedJobs()
     })
   }
 }
--- a/src/entryNode/nodeGauges.ts
+++ b/src/entryNode/nodeGauges.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a node's parts for its metrics.
+ * Reads the current values of a node's gauges from its services.
  */
 import type { IClock } from '../base/common/clock.ts'
 import type { FleetMember } from '../services/membership/node/fleetMember.ts'
@@ -12,7 +12,7 @@
 import type { NodeQuota } from './nodeQuota.ts'
 import type { NodeStatements } from './nodeStatements.ts'
 
-export interface GaugedParts {
+export interface NodeGaugeSources {
   readonly clock: IClock
   readonly relay: RelayServer
   readonly member: FleetMember
@@ -24,20 +24,20 @@
   readonly pause: PauseDetector
 }
 
-export function createNodeGauges ({ clock, relay, member, registry, coordinator, quota, statements, quarantine, pause }: GaugedParts): NodeGauges {
+export function createNodeGauges ({ clock, relay, member, registry, coordinator, quota, statements, quarantine, pause }: NodeGaugeSources): NodeGauges {
   const { backoffs, guard } = statements
   return {
-    countOpen: () => relay.activeRequestCount,
-    countMembers: () => member.membership.countLive(),
+    countOpenRequests: () => relay.activeRequestCount,
+    countLiveNodes: () => member.membership.countLive(),
     countUpstreams: () => registry.size,
     countColdUpstreams: () => registry.list().filter(({ coldUntil = 0 }) => coldUntil > clock.now()).length,
     countEvacuatedHalls: () => registry.listEvacuatedHalls().length,
-    getKnownAgeMs: () => registry.computeFreshness(clock.now()).ageMs,
+    getUpstreamStateAgeMs: () => registry.computeFreshness(clock.now()).ageMs,
     countJobs: () => coordinator.jobCount,
     getConfigurationVersion: () => member.configuration.number.version,
-    countQuarantined: () => quarantine.listQuarantined().length,
+    countQuarantinedRequests: () => quarantine.listQuarantined().length,
     countQuarantineRefusals: () => quarantine.refusedCount,
-    countLimitedUpstreams: () => quota.stated.listLimits().length,
+    countLimitedUpstreams: () => quota.statedLimits.listLimits().length,
     countQuotaDenials: () => quota.deniedCount,
     countLeavingUpstreams: () => registry.list().filter(({ isLeaving }) => isLeaving).length,
     countBackingOffUpstreams: () => backoffs.list().filter(({ leftMs }) => leftMs > 0).length,
--- a/src/entryNode/nodeMetrics.ts
+++ b/src/entryNode/nodeMetrics.ts
@@ -1,20 +1,20 @@
 /**
- * What a node counts. Labels take their values from small fixed sets; customers and routes are told by the log.
+ * The metrics of a node. Labels only have values from small fixed sets; customers and routes are written to the log instead.
  */
 import { MetricsRegistry } from '../services/metrics/node/metricsServer.ts'
 import type { CompletedRequest } from '../services/relay/node/relayServer.ts'
 import type { StatementKind } from '../services/upstream/common/upstreamStatement.ts'
 
 export interface NodeGauges {
-  readonly countOpen: () => number
-  readonly countMembers: () => number
+  readonly countOpenRequests: () => number
+  readonly countLiveNodes: () => number
   readonly countUpstreams: () => number
   readonly countColdUpstreams: () => number
   readonly countEvacuatedHalls: () => number
-  readonly getKnownAgeMs: () => number
+  readonly getUpstreamStateAgeMs: () => number
   readonly countJobs: () => number
   readonly getConfigurationVersion: () => number
-  readonly countQuarantined: () => number
+  readonly countQuarantinedRequests: () => number
   readonly countQuarantineRefusals: () => number
   readonly countLimitedUpstreams: () => number
   readonly countInvalidStatements: () => number
@@ -28,24 +28,24 @@
 
 export class NodeMetrics {
   readonly metrics = new MetricsRegistry()
-  private readonly _ends = this.metrics.createCounter('node_requests_total', 'Requests that ended', ['result'])
+  private readonly _completedRequests = this.metrics.createCounter('node_requests_total', 'Requests that ended', ['result'])
   private readonly _attempts = this.metrics.createCounter('node_attempts_total', 'Sends to upstreams')
   private readonly _statements = this.metrics.createCounter('node_statements_total', 'What upstreams said of themselves with their answers', ['kind'])
-  private readonly _times = this.metrics.createLatencyHistogram('node_request_ms', 'Time of requests, by result', ['result'])
-  private readonly _prepared = this.metrics.createLatencyHistogram('node_prepared_ms', 'Time in preparation')
-  private readonly _produced = this.metrics.createLatencyHistogram('node_produced_ms', 'From the end of preparation to the first event or the whole answer')
+  private readonly _requestDurations = this.metrics.createLatencyHistogram('node_request_ms', 'Time of requests, by result', ['result'])
+  private readonly _preparationDurations = this.metrics.createLatencyHistogram('node_prepared_ms', 'Time in preparation')
+  private readonly _productionDurations = this.metrics.createLatencyHistogram('node_produced_ms', 'From the end of preparation to the first event or the whole answer')
 
   constructor (gauges: NodeGauges) {
     this.metrics.addProcessMetrics()
-    this.metrics.createGauge('node_requests_open', 'Requests in progress', gauges.countOpen)
-    this.metrics.createGauge('node_members', 'Nodes taken for alive', gauges.countMembers)
+    this.metrics.createGauge('node_requests_open', 'Requests in progress', gauges.countOpenRequests)
+    this.metrics.createGauge('node_members', 'Nodes taken for alive', gauges.countLiveNodes)
     this.metrics.createGauge('node_upstreams', 'Upstreams known', gauges.countUpstreams)
     this.metrics.createGauge('node_cold_upstreams', 'Upstreams that bear little for a while', gauges.countColdUpstreams)
     this.metrics.createGauge('node_evacuated_halls', 'Halls whose upstreams get nothing new', gauges.countEvacuatedHalls)
-    this.metrics.createGauge('node_known_age_ms', 'Milliseconds since the source last confirmed what is known of upstreams', gauges.getKnownAgeMs)
+    this.metrics.createGauge('node_known_age_ms', 'Milliseconds since the source last confirmed what is known of upstreams', gauges.getUpstreamStateAgeMs)
     this.metrics.createGauge('node_jobs', 'Jobs that this node coordinates', gauges.countJobs)
     this.metrics.createGauge('node_configuration_version', 'Version of the configuration in force', gauges.getConfigurationVersion)
-    this.metrics.createGauge('node_quarantined_requests', 'Requests that are no longer sent, since upstreams ended under them', gauges.countQuarantined)
+    this.metrics.createGauge('node_quarantined_requests', 'Requests that are no longer sent, since upstreams ended under them', gauges.countQuarantinedRequests)
     this.metrics.createGauge('node_quarantine_refusals_total', 'Tries of such requests that were refused', gauges.countQuarantineRefusals)
     this.metrics.createGauge('node_limited_upstreams', 'Upstreams that state a limit of the rate that they accept', gauges.countLimitedUpstreams)
     this.metrics.createGauge('node_quota_denials_total', 'Requests for limited upstreams that this node did not give out', gauges.countQuotaDenials)
@@ -61,11 +61,11 @@
     this._statements.inc({ kind })
   }
 
-  record ({ elapsedMs, end }: CompletedRequest): void {
-    this._ends.inc({ result: end.result })
+  recordRequest ({ elapsedMs, end }: CompletedRequest): void {
+    this._completedRequests.inc({ result: end.result })
     this._attempts.inc(end.attempts)
-    this._times.observe({ result: end.result }, elapsedMs)
-    if (end.preparedMs > 0) this._prepared.observe(end.preparedMs)
-    if (end.producedMs > 0) this._produced.observe(end.producedMs)
+    this._requestDurations.observe({ result: end.result }, elapsedMs)
+    if (end.preparedMs > 0) this._preparationDurations.observe(end.preparedMs)
+    if (end.producedMs > 0) this._productionDurations.observe(end.producedMs)
   }
 }
--- a/src/entryNode/nodeQuota.ts
+++ b/src/entryNode/nodeQuota.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of a node that keep what limited upstreams get within what they accept.
+ * Enforces the rate limits of upstreams: those they state themselves and those of cold upstreams.
  */
 import type { IClock } from '../base/common/clock.ts'
 import { Disposable } from '../base/common/disposable.ts'
@@ -24,32 +24,33 @@
   readonly facts: FactStore
   readonly registry: UpstreamRegistry
   readonly links: CoordinatorLinks
-  /** This node, by its address, and its boot. */
+  /** The address of this node. */
   readonly node: string
   readonly incarnation: number
-  /** Where the coordinator of this node is reached. */
+  /** The address of this node's coordinator. */
   readonly coordinatorAddress: string
-  /** The coordinator that all nodes with the same members choose for a hall. */
+  /** Returns the address of a hall's coordinator. All nodes with the same list of members choose the same one. */
   readonly findCoordinator: (hall: string) => string | undefined
-  /** Whether this node may take itself for the owner of anything. */
-  readonly mayOwn: () => boolean
+  /** Whether this node may act as the owner of any hall's quotas. */
+  readonly canOwnQuotas: () => boolean
   readonly membership: MembershipTable
-  /** Undefined until a configuration is known. */
+  /** Returns undefined until a configuration is in force. */
   readonly getTable: () => RelayTable | undefined
-  /** All nodes together send a cold upstream at most so many times what it bears in a second, and so many more; nothing bounds it without them. */
-  readonly coldShare?: number | undefined
-  readonly coldSpare?: number | undefined
+  /** All nodes together send a cold upstream at most this multiple of its cold capacity; undefined for no limit. */
+  readonly coldRateMultiplier?: number | undefined
+  /** Requests per second that all nodes together may send a cold upstream in addition to that. */
+  readonly extraColdRequestsPerS?: number | undefined
 }
 
-/** How often it is looked at which halls this node owns the quotas of. */
-const OWNER_PERIOD_MS = 100
-const NOT_KNOWN: QuotaDecision = { isGranted: false, retryInMs: 200 }
+/** How often this node determines the halls whose quotas it owns. */
+const OWNERSHIP_REFRESH_PERIOD_MS = 100
+const UNKNOWN_UPSTREAM_DECISION: QuotaDecision = { isGranted: false, retryInMs: 200 }
 
 export class NodeQuota extends Disposable {
   private readonly _options: NodeQuotaOptions
-  private readonly _owner: QuotaOwner
-  private readonly _told: PeerReportedLimits
-  readonly stated: RateLimitService
+  private readonly _quotaOwner: QuotaOwner
+  private readonly _peerReportedLimits: PeerReportedLimits
+  readonly statedLimits: RateLimitService
   readonly limits: CombinedLimits
   readonly service: QuotaService
 
@@ -57,48 +58,48 @@
     super()
     this._options = options
     const { clock, registry, membership } = options
-    const countLive = () => membership.countLive()
-    const countKnown = () => membership.listMembers().filter(({ state }) => state !== 'left').length
-    this.stated = this._register(new RateLimitService(options))
-    this._told = new PeerReportedLimits(clock)
-    this._register(registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._told.remove(entry.id) }))
-    const known = new CombinedLimits([
-      new StatedLimits(upstream => this.stated.findLimit(upstream)),
-      new ColdStartLimits({ clock, getMaxRequestsPerS: role => this._computeColdBound(role), countKnownNodes: countKnown, countLiveNodes: countLive })
+    const countLiveNodes = () => membership.countLive()
+    const countKnownNodes = () => membership.listMembers().filter(({ state }) => state !== 'left').length
+    this.statedLimits = this._register(new RateLimitService(options))
+    this._peerReportedLimits = new PeerReportedLimits(clock)
+    this._register(registry.onDidChange(({ kind, entry }) => { if (kind === 'dropped') this._peerReportedLimits.remove(entry.id) }))
+    const localLimits = new CombinedLimits([
+      new StatedLimits(upstream => this.statedLimits.findLimit(upstream)),
+      new ColdStartLimits({ clock, getMaxRequestsPerS: role => this._computeColdStartLimit(role), countKnownNodes, countLiveNodes })
     ])
-    this.limits = new CombinedLimits([this._told, known])
-    this._owner = new QuotaOwner({ clock, limits: this.limits, isOwner: hall => options.mayOwn() && this._findOwner(hall) === undefined })
-    this.service = this._register(new QuotaService({ ...options, limits: this.limits, localLimits: known, owner: this._owner, findOwnerAddress: hall => this._findOwner(hall), countNodes: countLive }))
-    this._register(startInterval(OWNER_PERIOD_MS, () => this._owner.refreshOwnership(new Set(registry.list().map(({ hall }) => hall)))))
+    this.limits = new CombinedLimits([this._peerReportedLimits, localLimits])
+    this._quotaOwner = new QuotaOwner({ clock, limits: this.limits, isOwner: hall => options.canOwnQuotas() && this._findOwnerAddress(hall) === undefined })
+    this.service = this._register(new QuotaService({ ...options, limits: this.limits, localLimits, owner: this._quotaOwner, findOwnerAddress: hall => this._findOwnerAddress(hall), countNodes: countLiveNodes }))
+    this._register(startInterval(OWNERSHIP_REFRESH_PERIOD_MS, () => this._quotaOwner.refreshOwnership(new Set(registry.list().map(({ hall }) => hall)))))
   }
 
-  /** Requests that were not given out here since the start. */
+  /** Requests that this node has denied as an owner of quotas since the process start. */
   get deniedCount (): number {
-    return this._owner.deniedCount
+    return this._quotaOwner.deniedCount
   }
 
-  /** Whether another node may send one request to an upstream. */
-  answer (upstreamId: string, limit: PeerReportedLimit | undefined): QuotaDecision {
+  /** Decides whether a peer may send one request to an upstream; records the limit that the peer reports. */
+  acquireForPeer (upstreamId: string, limit: PeerReportedLimit | undefined): QuotaDecision {
     const entry = this._options.registry.get(upstreamId)
-    if (entry === undefined) return NOT_KNOWN
-    if (limit !== undefined) this._told.record(upstreamId, limit)
-    return this._owner.acquire(entry)
+    if (entry === undefined) return UNKNOWN_UPSTREAM_DECISION
+    if (limit !== undefined) this._peerReportedLimits.record(upstreamId, limit)
+    return this._quotaOwner.acquire(entry)
   }
 
-  /** What this node knew of the owners is from before a pause. */
-  forgetOwned (): void {
-    this._owner.resetOwnership()
+  /** Called after a process pause, when the tracked ownership may be outdated. */
+  resetOwnership (): void {
+    this._quotaOwner.resetOwnership()
   }
 
-  /** What one cold upstream of a role may get in a second from all nodes together; Infinity where nothing bounds it. */
-  private _computeColdBound (role: string): number {
-    const { coldShare, coldSpare = 0, getTable } = this._options
-    const bearsPerS = getTable()?.getRole(role)?.coldRequestsPerS ?? 0
-    return coldShare === undefined || bearsPerS <= 0 ? Infinity : bearsPerS * coldShare + coldSpare
+  /** Requests per second that all nodes together may send one cold upstream of a role; Infinity if there is no limit. */
+  private _computeColdStartLimit (role: string): number {
+    const { coldRateMultiplier, extraColdRequestsPerS = 0, getTable } = this._options
+    const coldCapacityPerS = getTable()?.getRole(role)?.coldRequestsPerS ?? 0
+    return coldRateMultiplier === undefined || coldCapacityPerS <= 0 ? Infinity : coldCapacityPerS * coldRateMultiplier + extraColdRequestsPerS
   }
 
-  /** Where the owner of a hall's quotas is reached; undefined where that is this node. */
-  private _findOwner (hall: string): string | undefined {
+  /** Returns the address of the owner of a hall's quotas; undefined if that is this node. */
+  private _findOwnerAddress (hall: string): string | undefined {
     const { findCoordinator, coordinatorAddress } = this._options
     const address = findCoordinator(hall) ?? coordinatorAddress
     return address === coordinatorAddress ? undefined : address
--- a/src/entryNode/nodeReport.ts
+++ b/src/entryNode/nodeReport.ts
@@ -1,13 +1,12 @@
 /**
- * What a node tells the others of itself: where its callers go, whether they may, and how much it has to do.
+ * Publishes a node's own status to the other nodes: its address for callers, whether it accepts requests, and its load.
  */
 import type { IClock } from '../base/common/clock.ts'
 import type { ConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
 import { formatGateSubject } from '../services/facts/common/fact.ts'
 import type { FactStore } from '../services/facts/common/factStore.ts'
 
-/** A node's state, as it is told. */
-export interface NodeState {
+export interface NodeStatus {
   readonly isReady: boolean
   readonly isDraining: boolean
   readonly inFlight: number
@@ -15,50 +14,50 @@
   readonly configuration: ConfigurationNumber
 }
 
-export interface NodeReportOptions {
+export interface NodeStatusReporterOptions {
   readonly clock: IClock
   readonly facts: FactStore
-  /** Where callers reach the node. */
+  /** The address at which callers reach the node. */
   readonly address: string
   readonly hall: string
-  /** Grows with each boot of the host. */
+  /** Increases with each process start on the host. */
   readonly incarnation: number
-  readonly getState: () => NodeState
-  /** The others should hear of it now. */
-  readonly onDidReport: (state: NodeState) => void
+  readonly getStatus: () => NodeStatus
+  /** Called after each report, so that it can be sent to the other nodes at once. */
+  readonly onDidReport: (state: NodeStatus) => void
 }
 
-/** What it says without anything new, so that a lost fact is mended; probes tell whether it lives. */
-const REPEAT_PERIOD_MS = 10_000
+/** An unchanged status is published again after this time to replace lost facts; probes detect whether the node is alive. */
+const REPORT_REFRESH_PERIOD_MS = 10_000
 
-export class NodeReport {
-  private readonly _options: NodeReportOptions
+export class NodeStatusReporter {
+  private readonly _options: NodeStatusReporterOptions
   private _factCounter = 0
-  private _reportedWord = ''
+  private _reportedAvailability = ''
   private _reportedAt = -Infinity
 
-  constructor (options: NodeReportOptions) {
+  constructor (options: NodeStatusReporterOptions) {
     this._options = options
   }
 
-  /** Says whether callers may use this node, when that has changed or was not said for long. */
-  refresh (): void {
-    const { clock, facts, address, hall, incarnation, getState, onDidReport } = this._options
-    const state = getState()
-    const { isReady: ready, isDraining: draining, inFlight, recentRequests, configuration } = state
-    const word = `${ready}/${draining}`
-    if (word === this._reportedWord && clock.now() - this._reportedAt < REPEAT_PERIOD_MS) return
-    this._reportedWord = word
+  /** Publishes the status if the availability for callers has changed or the last report is older than REPORT_REFRESH_PERIOD_MS. */
+  reportIfChanged (): void {
+    const { clock, facts, address, hall, incarnation, getStatus: getState, onDidReport } = this._options
+    const status = getState()
+    const { isReady: ready, isDraining: draining, inFlight, recentRequests, configuration } = status
+    const availability = `${ready}/${draining}`
+    if (availability === this._reportedAvailability && clock.now() - this._reportedAt < REPORT_REFRESH_PERIOD_MS) return
+    this._reportedAvailability = availability
     this._reportedAt = clock.now()
     const subject = formatGateSubject(address)
     facts.merge({
       subject,
-      // A node whose clock fell behind that of its predecessor at this address must still be heard.
+      // Facts must also be accepted when this node's clock is behind that of the previous node at this address.
       incarnation: Math.max(incarnation, facts.get(subject)?.incarnation ?? 0),
       counter: ++this._factCounter,
       value: { kind: 'gate', address, hall, inFlight, recentRequests, draining, ready, configuration },
       ageMs: 0
     })
-    onDidReport(state)
+    onDidReport(status)
   }
 }
--- a/src/entryNode/nodeSettings.ts
+++ b/src/entryNode/nodeSettings.ts
@@ -14,40 +14,40 @@
   name: Schema.NonEmptyString,
   hall: Schema.NonEmptyString,
   region: Schema.String,
-  /** The halls that there are, and their regions. */
+  /** All halls with their regions. */
   hall_regions: Schema.optional(Schema.Record({ key: Schema.NonEmptyString, value: Schema.String })),
-  /** Where the other nodes reach this one. */
+  /** The address at which the other nodes reach this one. */
   address: AddressText,
-  /** Where callers send their requests. */
+  /** The address to which callers send their requests. */
   callers_address: AddressText,
-  /** Where callers ask which addresses to use. */
+  /** The address at which callers look up the addresses to use. */
   directory_address: AddressText,
-  /** Where it is asked whether this node takes requests. */
+  /** The address of the readiness check: whether this node accepts requests. */
   readiness_address: AddressText,
-  /** Where nodes give each other preparation jobs; the same port on all. */
+  /** The port on which nodes accept preparation jobs from each other; the same on all nodes. */
   preparation_port: Port,
   metrics_port: Schema.optional(Port),
-  /** The part of a core that this host gives the node. */
+  /** The fraction of a core that this host allots to the node. */
   core_share: Schema.Number.pipe(Schema.positive()),
-  /** How fast that core is, against the usual one. */
+  /** The speed of that core relative to the usual one. */
   core_speed: Schema.Number.pipe(Schema.positive()),
-  /** Nodes to meet first. */
+  /** Nodes that are contacted first to join the fleet. */
   seeds: Schema.Array(AddressText),
-  /** Where configuration and upstreams are read. */
+  /** The address from which configuration and upstreams are read. */
   source_address: AddressText,
-  /** A stopping process is ended by force after this. */
+  /** A stopping process is killed after this time. */
   stop_grace_s: PositiveSeconds,
-  /** The longest that callers may keep an address answer. */
+  /** The longest time for which callers may cache an address answer. */
   keep_s: PositiveSeconds,
-  /** Retries of all nodes together against first attempts, at any upstream role. */
+  /** Retries of all nodes together as a ratio of first attempts, per upstream role. */
   retry_share: NonNegative,
-  /** All nodes together send a cold upstream this many times what the configuration says that it bears in a second, at most. */
+  /** All nodes together send a cold upstream at most this multiple of its configured cold capacity in requests per second. */
   cold_share: Schema.optional(NonNegative),
-  /** Requests in a second that they may send it beyond that. */
+  /** Requests per second that they may send in addition to that. */
   cold_spare: Schema.optional(NonNegative),
-  /** Retries of all nodes together that need no first attempts, in one window. */
+  /** Retries of all nodes together in one window that are allowed regardless of the number of first attempts. */
   retry_spare: NonNegative,
-  /** The span within which retries are held against first attempts. */
+  /** The time window over which retries are compared with first attempts. */
   retry_window_s: Schema.optionalWith(PositiveSeconds, { default: () => DEFAULT_RETRY_WINDOW_S })
 })
 
--- a/src/entryNode/nodeStatements.ts
+++ b/src/entryNode/nodeStatements.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of a node that act on what upstreams say of themselves, whichever call they said it with.
+ * Applies the statements that upstreams send about themselves (rate limit, leaving, backoff) with any kind of answer.
  */
 import type { IClock } from '../base/common/clock.ts'
 import { Disposable } from '../base/common/disposable.ts'
@@ -15,12 +15,12 @@
   readonly clock: IClock
   readonly log: ILogService
   readonly registry: UpstreamRegistry
-  /** Takes in the rate that an upstream accepts: requests per second, or that there is no limit. */
+  /** Records the rate that an upstream accepts, in requests per second; undefined means that it has no limit. */
   readonly noteRate: (upstream: string, perS: number | undefined) => void
 }
 
 const ANSWER_SIGNAL = 'answer'
-/** A value is any bytes that fit into a head. */
+/** An invalid value may be as long as a whole response head. */
 const MAX_LOGGED_CHARACTERS = 80
 
 export class NodeStatements extends Disposable {
@@ -29,9 +29,9 @@
   private readonly _options: NodeStatementsOptions
   private readonly _receivers: StatementReceivers
   private _invalidCount = 0
-  private readonly _onDidNote = this._register(new Emitter<StatementKind>())
-  /** An upstream said something of itself; that it has no limit is not told. */
-  readonly onDidNote = this._onDidNote.event
+  private readonly _onDidRecordStatement = this._register(new Emitter<StatementKind>())
+  /** Fires for each statement of an upstream, except for the statement that it has no limit. */
+  readonly onDidRecordStatement = this._onDidRecordStatement.event
 
   constructor (options: NodeStatementsOptions) {
     super()
@@ -43,27 +43,27 @@
       rate: (upstream, { perS }) => noteRate(upstream, perS),
       leaving: upstream => registry.markLeaving(upstream, ANSWER_SIGNAL),
       backoff: (upstream, { forMs }) => this.backoffs.recordBackoff(upstream, forMs),
-      invalid: (upstream, { name, value }) => this._noteInvalid(upstream, name, value)
+      invalid: (upstream, { name, value }) => this._recordInvalidStatement(upstream, name, value)
     }
   }
 
-  /** Statements since the start whose values mean nothing. */
+  /** Statements with invalid values since the process start. */
   get invalidCount (): number {
     return this._invalidCount
   }
 
-  note (stated: StatementBatch): void {
-    dispatchStatements(stated, this._receivers)
-    for (const statement of stated.statements) if (!isPlain(statement)) this._onDidNote.fire(statement.kind)
+  note (batch: StatementBatch): void {
+    dispatchStatements(batch, this._receivers)
+    for (const statement of batch.statements) if (!isDefaultStatement(statement)) this._onDidRecordStatement.fire(statement.kind)
   }
 
-  private _noteInvalid (upstream: string, name: string, value: string): void {
+  private _recordInvalidStatement (upstream: string, name: string, value: string): void {
     this._invalidCount++
     this._options.log.warn('statement_invalid', { upstream, name, value: value.slice(0, MAX_LOGGED_CHARACTERS), length: value.length })
   }
 }
 
-/** What nearly every answer says. */
-function isPlain (statement: UpstreamStatement): boolean {
+/** Whether a statement says that there is no limit, as nearly every answer does. */
+function isDefaultStatement (statement: UpstreamStatement): boolean {
   return statement.kind === 'rate' && statement.perS === undefined
 }
--- a/src/entryNode/statementsHandler.ts
+++ b/src/entryNode/statementsHandler.ts
@@ -1,5 +1,5 @@
 /**
- * Lets operators see which upstreams get nothing, or less, by what they said of themselves to this node or another.
+ * Shows operators which upstreams receive no requests because they stated that they are leaving or asked for a backoff.
  */
 import type { IClock } from '../base/common/clock.ts'
 import type { BackoffService } from '../services/backoff/node/backoffService.ts'
@@ -17,7 +17,7 @@
   readonly backoffs: BackoffService
 }
 
-/** GET lists the upstreams that leave and those that asked this node for a pause, with the age of what is known. */
+/** GET lists the leaving upstreams and those that asked this node to back off, with the age of each statement. */
 export function createStatementsHandler ({ clock, registry, facts, backoffs }: StatementsHandlerOptions): OperatorHandler {
   return {
     path: STATEMENTS_PATH,
--- a/src/entryNode/test/coordinatorDirectory.test.ts
+++ b/src/entryNode/test/coordinatorDirectory.test.ts
@@ -9,19 +9,19 @@
   return { address, hall, state: 'alive', incarnation, weight: 1 }
 }
 
-test('a hall has the coordinator of the node in it that has run for longest, and another once that is gone', () => {
+test('a hall has the coordinator of its longest-running node, and another one once that node is gone', () => {
   const [near, younger, far] = [createMember('10.0.0.1:1', 'x', 2), createMember('10.0.0.2:1', 'x', 3), createMember('10.0.0.3:1', 'y', 1)]
   let live: readonly Member[] = [near, younger, far]
-  const directory = new CoordinatorDirectory({ listLive: () => live, port: 9 })
-  assert.is(directory.find('x'), '10.0.0.1:9')
-  assert.is(directory.find('y'), '10.0.0.3:9')
-  assert.is(directory.list(), directory.list())
+  const directory = new CoordinatorDirectory({ listLiveMembers: () => live, port: 9 })
+  assert.is(directory.findForHall('x'), '10.0.0.1:9')
+  assert.is(directory.findForHall('y'), '10.0.0.3:9')
+  assert.is(directory.listCoordinators(), directory.listCoordinators())
   live = [younger, far]
-  assert.is(directory.find('x'), '10.0.0.2:9')
+  assert.is(directory.findForHall('x'), '10.0.0.2:9')
   live = [far]
-  assert.is(directory.find('x'), '10.0.0.3:9')
+  assert.is(directory.findForHall('x'), '10.0.0.3:9')
   live = []
-  assert.is(directory.find('x'), undefined)
+  assert.is(directory.findForHall('x'), undefined)
 })
 
 test.run()
--- a/src/entryNode/test/nodeMetrics.test.ts
+++ b/src/entryNode/test/nodeMetrics.test.ts
@@ -4,18 +4,18 @@
 
 const test = suite('nodeMetrics')
 
-test('requests are counted by result, and their times go into histograms', async () => {
+test('requests are counted by result, and their durations are recorded in histograms', async () => {
   const getZero = () => 0
   const metrics = new NodeMetrics({
-    countOpen: () => 3,
-    countMembers: getZero,
+    countOpenRequests: () => 3,
+    countLiveNodes: getZero,
     countUpstreams: getZero,
     countColdUpstreams: () => 4,
     countEvacuatedHalls: () => 1,
-    getKnownAgeMs: () => 250,
+    getUpstreamStateAgeMs: () => 250,
     countJobs: getZero,
     getConfigurationVersion: () => 41,
-    countQuarantined: getZero,
+    countQuarantinedRequests: getZero,
     countQuarantineRefusals: () => 6,
     countLimitedUpstreams: () => 2,
     countInvalidStatements: getZero,
@@ -27,8 +27,8 @@
     getBytesSent: getZero
   })
   const end = { result: 'delivered' as const, attempts: 2, preparedMs: 300, producedMs: 40, lastUpstream: 'u', known: { revision: 7, ageMs: 250 } }
-  metrics.record({ id: 'a', route: 'r', customer: 'c', elapsedMs: 400, end })
-  metrics.record({ id: 'b', route: 'r', customer: 'c', elapsedMs: 5, end: { ...end, result: 'overloaded', attempts: 0, preparedMs: 0, producedMs: 0 } })
+  metrics.recordRequest({ id: 'a', route: 'r', customer: 'c', elapsedMs: 400, end })
+  metrics.recordRequest({ id: 'b', route: 'r', customer: 'c', elapsedMs: 5, end: { ...end, result: 'overloaded', attempts: 0, preparedMs: 0, producedMs: 0 } })
   const text = await metrics.metrics.registry.metrics()
   assert.match(text, /pepperwood_node_requests_total\{result="delivered"\} 1/)
   assert.match(text, /pepperwood_node_requests_total\{result="overloaded"\} 1/)
--- a/src/entryNode/test/statementsHandler.test.ts
+++ b/src/entryNode/test/statementsHandler.test.ts
@@ -9,7 +9,7 @@
 
 const test = suite('statementsHandler')
 
-test('upstreams that leave and that asked for a pause are listed with the age of what is known', () => {
+test('leaving upstreams and those that asked for a backoff are listed with the age of their statements', () => {
   const clock = new VirtualClock()
   const registry = new UpstreamRegistry()
   const facts = new FactStore(clock)
--- a/src/entryNode/upstreamSharing.ts
+++ b/src/entryNode/upstreamSharing.ts
@@ -1,6 +1,6 @@
 /**
- * What a node knows of upstreams, from its source and from its peers: the source's news go into the registry, and what
- * is learned of an upstream's end goes to the peers, some of which may be cut off from the source.
+ * Synchronizes the upstream registry of a node with its source and its peers. Updates from the source are applied to the
+ * registry; upstreams that leave or are gone are published as facts to peers, some of which may not reach the source.
  */
 import type { IClock } from '../base/common/clock.ts'
 import { Disposable } from '../base/common/disposable.ts'
@@ -19,117 +19,120 @@
   readonly facts: FactStore
   readonly registry: UpstreamRegistry
   readonly source: UpstreamSource
-  /** How long upstreams of a role may be cold when their hall is taken back. */
+  /** How long upstreams of a role may be cold after their hall is readmitted, in milliseconds. */
   readonly getColdMs?: (role: string) => number
 }
 
-/** Order of what is said of one boot: gone outweighs leaving. */
+/** Fact counters order the states of one upstream instance: gone supersedes leaving. */
 const LEAVING_COUNTER = 1
 const GONE_COUNTER = 2
 const PEER_SIGNAL = 'peer'
 const LIST_SIGNAL = 'list'
-/** This node's own watch should have told what a peer said within this time. */
-const CONFIRM_MS = 700
-/** Boots are never heard of again so long after their end. */
-const FORGET_LEAVING_MS = 600_000
-const DROP_PERIOD_MS = 60_000
-/** A source that was away lists what operators have said again within this time. */
-const CONFIRM_EVACUATION_MS = 2500
-/** Upstreams that come back cold are warm again within some seconds. */
-const READMIT_WAIT_MS = 4000
+/** A removal that a peer reported should arrive through this node's own watch within this time. */
+const REMOVAL_CONFIRM_TIMEOUT_MS = 700
+/** No facts about an upstream instance arrive any more this long after its end. */
+const LEAVING_FACT_RETENTION_MS = 600_000
+const FACT_CLEANUP_PERIOD_MS = 60_000
+/** A source that was unreachable lists the operators' evacuations again within this time. */
+const EVACUATION_CONFIRM_TIMEOUT_MS = 2500
+/** Upstreams that are cold after a readmission are warm again within a few seconds. */
+const READMISSION_DELAY_MS = 4000
 
 export class UpstreamSharing extends Disposable {
   private readonly _options: UpstreamSharingOptions
-  /** Halls that are evacuated by this node's own source. */
-  private readonly _toldHalls = new Set<string>()
-  /** Halls that peers say are taken back, with the source's revision of that. */
-  private readonly _readmissions = new Map<string, number>()
+  /** Halls that this node's own source reports as evacuated. */
+  private readonly _hallsEvacuatedBySource = new Set<string>()
+  /** Halls that peers reported as readmitted, with the source revision of the readmission. */
+  private readonly _pendingReadmissions = new Map<string, number>()
 
   constructor (options: UpstreamSharingOptions) {
     super()
     this._options = options
-    this._register(options.registry.onDidChange(change => this._noteChange(change)))
-    this._register(options.facts.onDidChange(fact => this._takeFact(fact)))
-    this._register(options.source.onDidRead(news => this._takeNews(news)))
-    this._register(options.source.onDidConfirm(revision => this._confirm(revision)))
+    this._register(options.registry.onDidChange(change => this._handleRegistryChange(change)))
+    this._register(options.facts.onDidChange(fact => this._handleFact(fact)))
+    this._register(options.source.onDidRead(update => this._applyUpdate(update)))
+    this._register(options.source.onDidConfirm(revision => this._confirmRevision(revision)))
   }
 
   start (): void {
-    this._register(startInterval(DROP_PERIOD_MS, () => this._dropOldFacts()))
+    this._register(startInterval(FACT_CLEANUP_PERIOD_MS, () => this._removeExpiredFacts()))
     this._options.source.start()
   }
 
-  private _takeNews (news: UpstreamUpdate): void {
+  private _applyUpdate (update: UpstreamUpdate): void {
     const { log, registry } = this._options
-    if (news.kind === 'updated') return registry.update(news.entry, 'source')
-    if (news.kind === 'removed') return registry.remove(news.id, 'removed')
-    if (news.kind === 'evacuated' || news.kind === 'readmitted') return this._shareEvacuation(news.evacuation, news.kind === 'evacuated')
-    this._takeListedEvacuations(news.evacuations, news.revision)
-    const listed = new Set(news.entries.map(entry => entry.id))
+    if (update.kind === 'updated') return registry.update(update.entry, 'source')
+    if (update.kind === 'removed') return registry.remove(update.id, 'removed')
+    if (update.kind === 'evacuated' || update.kind === 'readmitted') return this._publishEvacuation(update.evacuation, update.kind === 'evacuated')
+    this._applyListedEvacuations(update.evacuations, update.revision)
+    const listed = new Set(update.entries.map(entry => entry.id))
     const knownCount = registry.size
-    for (const entry of news.entries) registry.update(entry, LIST_SIGNAL)
+    for (const entry of update.entries) registry.update(entry, LIST_SIGNAL)
     if (registry.size > knownCount) log.info('upstreams_listed', { listed: listed.size, known_before: knownCount })
     for (const entry of registry.list()) if (!listed.has(entry.id)) registry.remove(entry.id, 'not listed')
   }
 
-  /** Before the upstreams, so that none of an evacuated hall is used for a moment. */
-  private _takeListedEvacuations (evacuations: readonly Evacuation[], revision: number): void {
+  /** Called before the listed upstreams are applied, so that upstreams of an evacuated hall are never used in between. */
+  private _applyListedEvacuations (evacuations: readonly Evacuation[], revision: number): void {
     const listed = new Set(evacuations.map(({ hall }) => hall))
-    for (const evacuation of evacuations) this._shareEvacuation(evacuation, true)
-    for (const hall of this._options.registry.listEvacuatedHalls()) if (!listed.has(hall)) this._shareEvacuation({ hall, revision }, false)
+    for (const evacuation of evacuations) this._publishEvacuation(evacuation, true)
+    for (const hall of this._options.registry.listEvacuatedHalls()) if (!listed.has(hall)) this._publishEvacuation({ hall, revision }, false)
   }
 
-  /** What is known of a hall is the fact with the source's latest revision, whichever node heard of it. */
-  private _shareEvacuation ({ hall, revision }: Evacuation, isEvacuated: boolean): void {
-    if (isEvacuated) this._toldHalls.add(hall)
-    else this._toldHalls.delete(hall)
+  /** Publishes the state of a hall as a fact; the highest source revision wins, whichever node received it. */
+  private _publishEvacuation ({ hall, revision }: Evacuation, isEvacuated: boolean): void {
+    if (isEvacuated) this._hallsEvacuatedBySource.add(hall)
+    else this._hallsEvacuatedBySource.delete(hall)
     this._options.facts.merge({ subject: formatEvacuationSubject(hall), incarnation: 1, counter: revision, value: { kind: 'evacuation', hall, isEvacuated }, ageMs: 0 })
   }
 
-  /** Operators speak to the source alone, so a peer's word holds only until this node's own source has had time to say it. */
-  private _takeEvacuation ({ counter, source: peer, value: { hall, isEvacuated } }: HeldFactOf<'evacuation'>): void {
+  /**
+   * Applies an evacuation fact. Operators write only to the source, so a peer's report holds only until this node's own
+   * source has had time to confirm it.
+   */
+  private _applyEvacuation ({ counter, source: peer, value: { hall, isEvacuated } }: HeldFactOf<'evacuation'>): void {
     const { clock, registry, source } = this._options
-    this._readmissions.delete(hall)
+    this._pendingReadmissions.delete(hall)
     if (!isEvacuated && peer !== '' && registry.computeFreshness(clock.now()).revision < counter) return this._delayReadmission(hall, counter, peer)
     this._setEvacuated(hall, isEvacuated, counter, peer)
     if (peer === '' || !isEvacuated) return
-    clock.schedule(CONFIRM_EVACUATION_MS, () => {
-      if (!this._isDisposed && registry.isEvacuated(hall) && !this._toldHalls.has(hall)) source.refreshList()
+    clock.schedule(EVACUATION_CONFIRM_TIMEOUT_MS, () => {
+      if (!this._isDisposed && registry.isEvacuated(hall) && !this._hallsEvacuatedBySource.has(hall)) source.refreshList()
     })
   }
 
   /**
-   * Peers tell each other sooner than the source tells a node, and what the source said before that is still to come: that
-   * the hall's upstreams are cold. A node that does not hear the source gives them the time to become warm.
+   * Peers report a readmission sooner than the source, and the source's earlier updates, which mark the hall's upstreams
+   * as cold, may still be outstanding. A node without updates from the source waits until the upstreams should be warm.
    */
   private _delayReadmission (hall: string, revision: number, peer: string): void {
-    this._readmissions.set(hall, revision)
-    this._options.clock.schedule(READMIT_WAIT_MS, () => {
-      if (!this._isDisposed && this._readmissions.get(hall) === revision) this._applyReadmission(hall, revision, peer)
+    this._pendingReadmissions.set(hall, revision)
+    this._options.clock.schedule(READMISSION_DELAY_MS, () => {
+      if (!this._isDisposed && this._pendingReadmissions.get(hall) === revision) this._applyReadmission(hall, revision, peer)
     })
   }
 
   private _applyReadmission (hall: string, revision: number, peer: string): void {
-    this._readmissions.delete(hall)
+    this._pendingReadmissions.delete(hall)
     this._setEvacuated(hall, false, revision, peer)
   }
 
-  private _confirm (revision: number): void {
+  private _confirmRevision (revision: number): void {
     const { clock, registry } = this._options
     registry.confirmRevision(revision, clock.now())
-    for (const [hall, since] of this._readmissions) if (since <= revision) this._applyReadmission(hall, since, '')
+    for (const [hall, readmittedRevision] of this._pendingReadmissions) if (readmittedRevision <= revision) this._applyReadmission(hall, readmittedRevision, '')
   }
 
   private _setEvacuated (hall: string, isEvacuated: boolean, revision: number, peer: string): void {
     const { clock, registry, log } = this._options
-    if (!isEvacuated && registry.isEvacuated(hall)) this._markCold(hall)
+    if (!isEvacuated && registry.isEvacuated(hall)) this._markHallCold(hall)
     if (!registry.setEvacuated(hall, isEvacuated)) return
     const known = registry.computeFreshness(clock.now())
     log.info(isEvacuated ? 'hall_evacuated' : 'hall_readmitted', { hall, revision: formatPosition(revision), source: peer === '' ? 'own' : peer, known_revision: formatPosition(known.revision), known_age_ms: Math.round(known.ageMs) })
   }
 
-  /** Upstreams may have become cold while their hall was empty, and their word of it may have been lost with a store. */
-  private _markCold (hall: string): void {
+  /** Upstreams may have become cold during the evacuation, and their report of it may have been lost with a store. */
+  private _markHallCold (hall: string): void {
     const { clock, registry, getColdMs = () => 0 } = this._options
     for (const entry of registry.list()) {
       const coldUntil = clock.now() + getColdMs(entry.role)
@@ -137,8 +140,8 @@
     }
   }
 
-  private _noteChange ({ kind, entry, signal }: UpstreamChange): void {
-    // A list of all upstreams is one line: a starting fleet would write thousands.
+  private _handleRegistryChange ({ kind, entry, signal }: UpstreamChange): void {
+    // Upstreams from a full list are not logged one by one: a starting fleet would write thousands of lines.
     if (kind === 'changed' || (kind === 'added' && signal === LIST_SIGNAL)) return
     const { revision, ageMs } = this._options.registry.computeFreshness(this._options.clock.now())
     this._options.log.info(`upstream_${kind}`, { upstream: entry.id, role: entry.role, address: entry.address, signal, known_revision: formatPosition(revision), known_age_ms: Math.round(ageMs) })
@@ -152,25 +155,25 @@
     })
   }
 
-  private _takeFact (fact: HeldFact): void {
+  private _handleFact (fact: HeldFact): void {
     const { clock, registry, source } = this._options
-    if (isFactOf(fact, 'evacuation')) return this._takeEvacuation(fact)
+    if (isFactOf(fact, 'evacuation')) return this._applyEvacuation(fact)
     if (fact.value.kind !== 'leaving' || fact.source === '') return
     if (fact.counter === LEAVING_COUNTER) return registry.markLeaving(fact.value.upstream, PEER_SIGNAL)
     const { upstream } = fact.value
     if (!source.isCurrent) return registry.remove(upstream, PEER_SIGNAL)
-    // A peer's list may have been short for a moment, or this node's watch may have gone silent: a new list decides.
-    clock.schedule(CONFIRM_MS, () => {
+    // Either the peer's list was briefly incomplete or this node's watch has stalled; a new list from the source decides.
+    clock.schedule(REMOVAL_CONFIRM_TIMEOUT_MS, () => {
       if (!this._isDisposed && registry.get(upstream) !== undefined) source.refreshList()
     })
   }
 
-  private _dropOldFacts (): void {
+  private _removeExpiredFacts (): void {
     const { clock, facts, registry } = this._options
     const now = clock.now()
     for (const { subject, observedAt, value } of facts.listKind('leaving')) {
-      // An entry may go on saying that the boot is ready.
-      if (now - observedAt > FORGET_LEAVING_MS && registry.get(value.upstream) === undefined) facts.drop(subject)
+      // The source's entry may still report the instance as ready, so its fact is kept as long as the entry is.
+      if (now - observedAt > LEAVING_FACT_RETENTION_MS && registry.get(value.upstream) === undefined) facts.drop(subject)
     }
   }
 }
--- a/src/services/configuration/common/configurationDocument.ts
+++ b/src/services/configuration/common/configurationDocument.ts
@@ -1,5 +1,5 @@
 /**
- * A configuration document as text, before and after it was checked.
+ * Parses and validates the text of configuration documents.
  */
 import { fromJsonString } from '@bufbuild/protobuf'
 import { Left, Right } from 'purify-ts'
@@ -10,20 +10,20 @@
 import { listProblems } from './configurationRules.ts'
 import type { ConfigurationNumber } from './configurationNumber.ts'
 
-/** A document as it was read, with the revision that the platform gave the write. */
+/** A document as it was read, with the platform's revision of its write. */
 export interface ConfigurationText {
   readonly text: string
-  /** The platform's count of writes; decides between two documents that carry the same number. */
+  /** The platform's count of writes; orders documents with the same number. */
   readonly revision: number
 }
 
-/** A document that was found valid. */
+/** A valid document. */
 export interface CheckedConfiguration extends ConfigurationText {
   readonly number: ConfigurationNumber
   readonly configuration: Configuration
 }
 
-/** The most that the platform holds for one value. */
+/** The platform's limit for one value. */
 const MAX_DOCUMENT_LENGTH = 1024 * 1024
 
 function parseDocument (text: string): Either<PepperwoodError, Configuration> {
@@ -39,12 +39,12 @@
   }
 }
 
-/** All that is wrong with a document; empty when it may be accepted. */
+/** Returns all problems of a document; empty if it is valid. */
 export function checkDocument (text: string): readonly PepperwoodError[] {
   return parseDocument(text).map(listProblems).mapLeft(error => [error]).extract()
 }
 
-/** Reads and checks a document; the error is the first problem found. */
+/** Parses and validates a document; the error is the first problem found. */
 export function readDocument (document: ConfigurationText): Either<PepperwoodError, CheckedConfiguration> {
   return parseDocument(document.text).chain(configuration => {
     const problem = listProblems(configuration)[0]
--- a/src/services/configuration/common/configurationNumber.ts
+++ b/src/services/configuration/common/configurationNumber.ts
@@ -1,6 +1,6 @@
 /**
- * The number of a configuration document. It only grows: operators raise the version with each document,
- * and the epoch when numbering has to start anew.
+ * The number of a configuration document. It only increases: operators increment the version with each document, and the
+ * epoch when the versions have to restart.
  */
 export interface ConfigurationNumber {
   readonly epoch: number
@@ -9,7 +9,7 @@
 
 export const NO_CONFIGURATION: ConfigurationNumber = { epoch: 0, version: 0 }
 
-/** Negative, zero or positive, as a is lower than, equal to or higher than b. */
+/** Returns a negative number, zero or a positive number if a is lower than, equal to or higher than b. */
 export function compareNumbers (a: ConfigurationNumber, b: ConfigurationNumber): number {
   return a.epoch - b.epoch || a.version - b.version
 }
@@ -18,15 +18,13 @@
   return `${number.epoch}.${number.version}`
 }
 
-/** A number with the platform's revision of the write that brought it. */
+/** A configuration number with the platform's revision of the write that stored the document. */
 export interface ConfigurationStamp {
   readonly number: ConfigurationNumber
   readonly revision: number
 }
 
-/**
- * Orders documents. Two operators may give different documents one number; then the platform's later write goes before.
- */
+/** Orders documents. If two operators use one number for different documents, the platform's later write is the higher one. */
 export function compareStamps (a: ConfigurationStamp, b: ConfigurationStamp): number {
   return compareNumbers(a.number, b.number) || a.revision - b.revision
 }
--- a/src/services/configuration/common/configurationRules.ts
+++ b/src/services/configuration/common/configurationRules.ts
@@ -1,5 +1,5 @@
 /**
- * What a configuration document must satisfy beyond its schema.
+ * Validation rules for configuration documents beyond their schema.
  */
 import { UpstreamKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { Configuration, Customer, Pipeline, Upstream } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -7,14 +7,14 @@
 import { MAX_EPOCH, MAX_VERSION } from '../../order/common/fencing.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 import { listRelayProblems } from './relayRules.ts'
-import type { Report } from './ruleReport.ts'
+import type { ProblemReporter } from './ruleReport.ts'
 
 const NAME_PATTERN = /^[a-z0-9][a-z0-9._-]{0,62}$/
 const DIGEST_PATTERN = /^[0-9a-f]{64}$/
 const MAX_DEADLINE_MS = 3_600_000
 const MAX_STAGES = 16
 
-function checkNames (path: string, items: readonly { readonly name: string }[], report: Report): void {
+function checkNames (path: string, items: readonly { readonly name: string }[], report: ProblemReporter): void {
   const seen = new Set<string>()
   items.forEach((item, index) => {
     const place = `${path}[${index}].name`
@@ -24,12 +24,12 @@
   })
 }
 
-/** Higher numbers would not fit into the fencing numbers of orders. */
-function checkRange (path: string, value: number, max: number, report: Report): void {
+/** Checks an epoch or version, which is part of the fencing numbers of orders and has to fit into them. */
+function checkRange (path: string, value: number, max: number, report: ProblemReporter): void {
   if (value < 1 || value > max) report(path, String(value), `expected 1 to ${max}`)
 }
 
-function checkPipeline (path: string, pipeline: Pipeline, roles: ReadonlySet<string>, report: Report): void {
+function checkPipeline (path: string, pipeline: Pipeline, roles: ReadonlySet<string>, report: ProblemReporter): void {
   if (pipeline.stages.length === 0) report(`${path}.stages`, '', 'expected at least one stage')
   if (pipeline.stages.length > MAX_STAGES) report(`${path}.stages`, String(pipeline.stages.length), `expected at most ${MAX_STAGES} stages`)
   if (pipeline.deadlineMs === 0 || pipeline.deadlineMs > MAX_DEADLINE_MS) {
@@ -41,24 +41,24 @@
   })
 }
 
-function checkCustomer (path: string, customer: Customer, pipelines: ReadonlySet<string>, report: Report): void {
+function checkCustomer (path: string, customer: Customer, pipelines: ReadonlySet<string>, report: ProblemReporter): void {
   if (!DIGEST_PATTERN.test(customer.keySha256)) report(`${path}.keySha256`, customer.keySha256, 'expected 64 lower-case hexadecimal digits')
   customer.pipelines.forEach((name, index) => {
     if (!pipelines.has(name)) report(`${path}.pipelines[${index}]`, name, 'no such pipeline')
   })
 }
 
-function checkUpstream (path: string, upstream: Upstream, report: Report): void {
+function checkUpstream (path: string, upstream: Upstream, report: ProblemReporter): void {
   if (parseAddress(upstream.address) === undefined) report(`${path}.address`, upstream.address, 'expected an IP number and port')
   if (upstream.kind === UpstreamKind.UNSPECIFIED) report(`${path}.kind`, '', 'expected UPSTREAM_KIND_ENGINE or UPSTREAM_KIND_SERVICE')
   if (upstream.role === '') report(`${path}.role`, '', 'expected a role')
   if (upstream.hall === '') report(`${path}.hall`, '', 'expected a hall')
 }
 
-/** Every rule that the document breaks, in the order of the document. */
+/** Returns all rule violations, in the order of the document. */
 export function listProblems (configuration: Configuration): readonly PepperwoodError[] {
   const problems: PepperwoodError[] = []
-  const report: Report = (path, value, message) => {
+  const report: ProblemReporter = (path, value, message) => {
     problems.push(new PepperwoodError({ name: 'configurationInvalid', message, place: path, value }))
   }
   const roles = new Set(configuration.upstreams.map(upstream => upstream.role))
--- a/src/services/configuration/common/configurationService.ts
+++ b/src/services/configuration/common/configurationService.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force in this process. It is replaced only by a valid document that is higher,
- * whoever brought it, so it never reverts.
+ * The configuration in force in this process. It is replaced only by a valid document with a higher stamp, whatever its
+ * source, so it never reverts.
  */
 import { Left, Right } from 'purify-ts'
 import type { Either } from 'purify-ts'
@@ -14,10 +14,10 @@
 import { compareStamps, formatNumber, NO_CONFIGURATION } from './configurationNumber.ts'
 import type { ConfigurationNumber } from './configurationNumber.ts'
 
-/** A configuration in force, with where it came from and when. */
+/** A configuration that was put into force, with its source and time. */
 export interface AcceptedConfiguration extends CheckedConfiguration {
   readonly source: string
-  /** On this process's clock. */
+  /** Milliseconds on this process's clock. */
   readonly acceptedAt: number
 }
 
@@ -25,12 +25,12 @@
   readonly onDidAccept: Event<AcceptedConfiguration>
   readonly current: AcceptedConfiguration | undefined
   readonly number: ConfigurationNumber
-  /** Takes the document into force, or says why not and changes nothing. */
+  /** Puts the document into force, or returns the reason for refusing it and leaves the current one unchanged. */
   offer (document: ConfigurationText, source: string): Either<PepperwoodError, AcceptedConfiguration>
 }
 
-/** Whether a document goes before the one in force; the text decides where even the stamps are equal, so that all agree. */
-function isHigher (offered: CheckedConfiguration, held: CheckedConfiguration): boolean {
+/** Whether a document supersedes the one in force. Equal stamps are ordered by text, so that all processes choose the same one. */
+function isSuperseding (offered: CheckedConfiguration, held: CheckedConfiguration): boolean {
   const order = compareStamps(offered, held)
   return order > 0 || (order === 0 && offered.text > held.text)
 }
@@ -54,14 +54,14 @@
 
   offer (document: ConfigurationText, source: string): Either<PepperwoodError, AcceptedConfiguration> {
     return readDocument(document).chain(checked => {
-      if (this._current !== undefined && !isHigher(checked, this._current)) return Left(this._createNotHigher(checked, source))
+      if (this._current !== undefined && !isSuperseding(checked, this._current)) return Left(this._createNotHigherError(checked, source))
       this._current = { ...checked, source, acceptedAt: this._clock.now() }
       this._onDidAccept.fire(this._current)
       return Right(this._current)
     })
   }
 
-  private _createNotHigher (checked: CheckedConfiguration, source: string): PepperwoodError {
+  private _createNotHigherError (checked: CheckedConfiguration, source: string): PepperwoodError {
     return new PepperwoodError({
       name: 'configurationNotHigher',
       message: `${formatNumber(this.number)} is in force`,
--- a/src/services/configuration/common/configurationSource.ts
+++ b/src/services/configuration/common/configurationSource.ts
@@ -1,5 +1,5 @@
 /**
- * Where a node reads the configuration that operators publish.
+ * The source from which a node reads the configuration that operators publish.
  */
 import { Disposable } from '../../../base/common/disposable.ts'
 import { Emitter } from '../../../base/common/event.ts'
@@ -7,17 +7,17 @@
 
 export abstract class ConfigurationSource extends Disposable {
   private readonly _onDidRead = this._register(new Emitter<ConfigurationText>())
-  /** A document in the product's own form. */
+  /** Fires with each document read, translated to the text form of the configuration schema. */
   readonly onDidRead = this._onDidRead.event
 
-  private readonly _onDidMiss = this._register(new Emitter<number>())
-  /** A document of this revision of the source was published and not told; peers may have it. */
-  readonly onDidMiss = this._onDidMiss.event
+  private readonly _onDidMissDocument = this._register(new Emitter<number>())
+  /** Fires with the source revision of a published document that this node has not received; peers may have it. */
+  readonly onDidMiss = this._onDidMissDocument.event
 
-  /** Begins to follow the source, until disposed of. */
+  /** Starts to follow changes of the source, until disposed of. */
   abstract start (): void
 
-  /** Reads the newest document; false when the source cannot be reached. What was read is published before it resolves. */
+  /** Reads the newest document and publishes it before the promise resolves; false if the source cannot be reached. */
   abstract readNewest (): Promise<boolean>
 
   protected _publish (document: ConfigurationText): void {
@@ -25,6 +25,6 @@
   }
 
   protected _noteMissed (revision: number): void {
-    this._onDidMiss.fire(revision)
+    this._onDidMissDocument.fire(revision)
   }
 }
--- a/src/services/configuration/common/fetchGuard.ts
+++ b/src/services/configuration/common/fetchGuard.ts
@@ -1,28 +1,28 @@
 /**
- * Keeps a process from fetching one document over several links at once: documents can be large, and every peer that
- * has a new one says so.
+ * Prevents a process from fetching the same document over several links at once: documents can be large, and every peer
+ * that has a new one announces it.
  */
 import type { IClock } from '../../../base/common/clock.ts'
 import { compareStamps } from './configurationNumber.ts'
 import type { ConfigurationStamp } from './configurationNumber.ts'
 
-/** After this a fetch is taken for lost, and another peer is asked. */
+/** A fetch without an answer within this time is considered lost, and another peer may be asked. */
 const FETCH_TIMEOUT_MS = 500
 
 export class FetchGuard {
-  private _fetching: ConfigurationStamp | undefined
-  private _askedAt = -Infinity
+  private _inFlightStamp: ConfigurationStamp | undefined
+  private _requestedAt = -Infinity
 
   constructor (private readonly _clock: IClock) {}
 
-  /** Whether a document with this stamp should be asked for now; if so, it counts as asked for. */
+  /** Whether a document with this stamp should be fetched now; if so, it is recorded as in flight. */
   begin (offered: ConfigurationStamp, held: ConfigurationStamp): boolean {
     if (compareStamps(offered, held) <= 0) return false
     const now = this._clock.now()
-    const isUnderWay = this._fetching !== undefined && compareStamps(offered, this._fetching) <= 0 && now - this._askedAt < FETCH_TIMEOUT_MS
-    if (isUnderWay) return false
-    this._fetching = offered
-    this._askedAt = now
+    const isInFlight = this._inFlightStamp !== undefined && compareStamps(offered, this._inFlightStamp) <= 0 && now - this._requestedAt < FETCH_TIMEOUT_MS
+    if (isInFlight) return false
+    this._inFlightStamp = offered
+    this._requestedAt = now
     return true
   }
 }
--- a/src/services/configuration/common/hostList.ts
+++ b/src/services/configuration/common/hostList.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's list of hosts: which live and which are leaving. It lags behind reality.
+ * The platform's list of hosts, with those that are live and those that are leaving. It lags behind the actual state.
  */
 import { Either as EffectEither, Schema } from 'effect'
 import { Left, Right } from 'purify-ts'
@@ -7,13 +7,13 @@
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 
 const HostEntry = Schema.Struct({
-  /** IP number and port. */
+  /** IP address and port. */
   address: Schema.String,
   hall: Schema.String,
   state: Schema.Literal('live', 'leaving'),
-  /** Which boot at this address the entry speaks of; 0 means whichever is there. */
+  /** The process instance at this address that the entry refers to; 0 means any instance. */
   boot: Schema.optionalWith(Schema.Number.pipe(Schema.int(), Schema.nonNegative()), { default: () => 0 }),
-  /** An entry host of the system, with its steward at the address, or an upstream's host. */
+  /** An entry host of the system, whose steward is at the address, or an upstream's host. */
   kind: Schema.Literal('entry', 'upstream')
 })
 
@@ -21,7 +21,7 @@
 
 export type Host = typeof HostEntry.Type
 
-/** Reads the list; a wrong one is refused whole. */
+/** Parses the list; a list with any invalid entry is refused as a whole. */
 export function parseHostList (text: string): Either<PepperwoodError, readonly Host[]> {
   try {
     const decoded = Schema.decodeUnknownEither(HostList)(JSON.parse(text))
--- a/src/services/configuration/common/relayRules.ts
+++ b/src/services/configuration/common/relayRules.ts
@@ -1,14 +1,14 @@
 /**
- * What the relay part of a configuration document must satisfy beyond its schema.
+ * Validation rules for the relay section of configuration documents beyond its schema.
  */
 import { RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { PieceWork, PreparationStage, Relay, RelayCustomer, Route } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
-import type { Report } from './ruleReport.ts'
+import type { ProblemReporter } from './ruleReport.ts'
 
 const DIGEST_PATTERN = /^[0-9a-f]{64}$/
 
-/** Reports every rule that the relay part breaks, in the order of the document. */
-export function listRelayProblems (relay: Relay, report: Report): void {
+/** Reports all rule violations of the relay section, in the order of the document. */
+export function listRelayProblems (relay: Relay, report: ProblemReporter): void {
   const roles = new Map(relay.roles.map(role => [role.name, role]))
   relay.roles.forEach((role, index) => {
     const path = `relay.roles[${index}]`
@@ -27,7 +27,7 @@
   relay.customers.forEach((customer, index) => checkCustomer(`relay.customers[${index}]`, customer, report))
 }
 
-function checkRoute (path: string, route: Route, hasRole: (name: string) => boolean, report: Report): void {
+function checkRoute (path: string, route: Route, hasRole: (name: string) => boolean, report: ProblemReporter): void {
   if (route.host === '') report(`${path}.host`, '', 'expected a host')
   if (!/^\/(.*\/)?$/.test(route.pathPrefix)) report(`${path}.pathPrefix`, route.pathPrefix, 'expected a path that begins and ends with a slash')
   if (route.kind === RouteKind.UNSPECIFIED) report(`${path}.kind`, '', 'expected a kind')
@@ -39,28 +39,28 @@
     if (!(target.weight >= 0)) report(`${path}.targets[${index}].weight`, String(target.weight), 'expected a weight of 0 or more')
   })
   if (route.targets.length > 0 && !route.targets.some(target => target.weight > 0)) report(`${path}.targets`, '', 'expected a target with a weight above 0')
-  checkHomes(`${path}.homeRegions`, route.homeRegions, report)
+  checkHomeRegions(`${path}.homeRegions`, route.homeRegions, report)
   checkStages(`${path}.stages`, route.stages, report)
 }
 
-function checkHomes (path: string, regions: readonly string[], report: Report): void {
+function checkHomeRegions (path: string, regions: readonly string[], report: ProblemReporter): void {
   regions.forEach((region, index) => { if (region === '') report(`${path}[${index}]`, '', 'expected a region') })
 }
 
-/** Stages may name later ones, but none may need its own result. */
-function checkStages (path: string, stages: readonly PreparationStage[], report: Report): void {
+/** Stages may depend on stages listed later, but not on their own result through a cycle. */
+function checkStages (path: string, stages: readonly PreparationStage[], report: ProblemReporter): void {
   stages.forEach((stage, index) => {
     for (const after of stage.after) if (after >= stages.length) report(`${path}[${index}].after`, String(after), 'no such stage')
   })
-  const settled = new Set<number>()
-  for (let before = -1; before !== settled.size;) {
-    before = settled.size
-    stages.forEach((stage, index) => { if (stage.after.every(after => settled.has(after) || after >= stages.length)) settled.add(index) })
+  const resolvedStages = new Set<number>()
+  for (let previousSize = -1; previousSize !== resolvedStages.size;) {
+    previousSize = resolvedStages.size
+    stages.forEach((stage, index) => { if (stage.after.every(after => resolvedStages.has(after) || after >= stages.length)) resolvedStages.add(index) })
   }
-  if (settled.size < stages.length) report(path, '', 'stages need each other in a circle')
+  if (resolvedStages.size < stages.length) report(path, '', 'the dependencies of the stages form a cycle')
 }
 
-function checkPieceWork (path: string, work: PieceWork, report: Report): void {
+function checkPieceWork (path: string, work: PieceWork, report: ProblemReporter): void {
   const positive = {
     concurrentCalls: work.concurrentCalls,
     maxPiecesPerCall: work.maxPiecesPerCall,
@@ -72,9 +72,9 @@
   }
 }
 
-function checkCustomer (path: string, customer: RelayCustomer, report: Report): void {
+function checkCustomer (path: string, customer: RelayCustomer, report: ProblemReporter): void {
   if (customer.name === '') report(`${path}.name`, '', 'expected a name')
-  checkHomes(`${path}.homeRegions`, customer.homeRegions, report)
+  checkHomeRegions(`${path}.homeRegions`, customer.homeRegions, report)
   customer.keySha256.forEach((digest, index) => {
     if (!DIGEST_PATTERN.test(digest)) report(`${path}.keySha256[${index}]`, digest, 'expected 64 lower-case hexadecimal digits')
   })
--- a/src/services/configuration/common/ruleReport.ts
+++ b/src/services/configuration/common/ruleReport.ts
@@ -1,6 +1,6 @@
 /**
- * How the rules of a configuration document tell what breaks them.
+ * The callback with which the rules of a configuration document report violations.
  */
 
-/** Takes in a broken rule: the place, the value found there and what was expected. */
-export type Report = (path: string, value: string, message: string) => void
+/** Reports a violated rule: the path in the document, the value found there and what was expected. */
+export type ProblemReporter = (path: string, value: string, message: string) => void
--- a/src/services/configuration/node/platformReader.ts
+++ b/src/services/configuration/node/platformReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads and watches values of the platform's configuration service. Nothing is ever written there.
+ * A read-only client of the platform's configuration service that reads and watches values.
  */
 import { Agent } from 'node:http'
 import { Either as EffectEither, Schema } from 'effect'
@@ -13,38 +13,38 @@
   value: Schema.String
 })
 
-/** A value of the platform with the revision of its last write. */
+/** A value stored by the platform, with the revision of its last write. */
 export type PlatformValue = typeof ValueAnswer.Type
 
 export interface PlatformReaderOptions {
-  /** Addresses of the platform's service; they are tried in turn. */
+  /** Addresses of the platform's service; after a failed call the next one is used. */
   readonly addresses: readonly string[]
   readonly localAddress?: string
   readonly onDidCall?: (isOk: boolean) => void
   readonly timeoutMs?: number
 }
 
-const NO_CHANGE = 204
+const NO_CONTENT_STATUS = 204
 const MAX_VALUE_BYTES = 4 * 1024 * 1024
 
 export class PlatformReader {
   private readonly _options: PlatformReaderOptions
   private readonly _agent = new Agent({ keepAlive: true })
-  private _next = 0
+  private _addressIndex = 0
 
   constructor (options: PlatformReaderOptions) {
     this._options = options
   }
 
   /**
-   * Reads a value; with a wait, the call returns when the value has a revision above the given one or the wait is over.
-   * Undefined means that there is no newer value.
+   * Reads a value. With a wait time, the call is a long poll: it returns when the value has a revision above the given
+   * one or the time is over. Returns undefined if there is no newer value.
    */
   async read (key: string, afterRevision = 0, waitMs = 0): Promise<Either<PepperwoodError, PlatformValue | undefined>> {
-    const address = this._options.addresses[this._next % this._options.addresses.length] ?? ''
+    const address = this._options.addresses[this._addressIndex % this._options.addresses.length] ?? ''
     const result = await this._readFrom(address, `/v1/values/${key}?after=${afterRevision}&wait_ms=${waitMs}`, waitMs)
     this._options.onDidCall?.(result.isRight())
-    if (result.isLeft()) this._next++
+    if (result.isLeft()) this._addressIndex++
     return result
   }
 
@@ -58,10 +58,10 @@
       connectTimeoutMs: 500,
       signal: AbortSignal.timeout(waitMs + (this._options.timeoutMs ?? 2000))
     })
-    if (start.kind !== 'response') return Left(createError(start.reason, address))
+    if (start.kind !== 'response') return Left(createUnreachableError(start.reason, address))
     const body = await readBody(start.response, MAX_VALUE_BYTES)
-    if (start.response.statusCode === NO_CHANGE) return Right(undefined)
-    if (body === undefined || start.response.statusCode !== 200) return Left(createError(`status ${start.response.statusCode}`, address))
+    if (start.response.statusCode === NO_CONTENT_STATUS) return Right(undefined)
+    if (body === undefined || start.response.statusCode !== 200) return Left(createUnreachableError(`status ${start.response.statusCode}`, address))
     return parseAnswer(body, address)
   }
 
@@ -75,11 +75,11 @@
     const decoded = Schema.decodeUnknownEither(ValueAnswer)(JSON.parse(body))
     if (EffectEither.isRight(decoded)) return Right(decoded.right)
   } catch {
-    // Not JSON: reported below like any other nonsense.
+    // Not JSON: reported below like any other invalid answer.
   }
   return Left(new PepperwoodError({ name: 'upstreamAnswerInvalid', message: 'expected a revision and a value', place: address, value: body }))
 }
 
-function createError (message: string, place: string): PepperwoodError {
+function createUnreachableError (message: string, place: string): PepperwoodError {
   return new PepperwoodError({ name: 'upstreamUnreachable', message, place })
 }
--- a/src/services/configuration/node/valueWatcher.ts
+++ b/src/services/configuration/node/valueWatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Brings the platform's configuration into this process. Stewards on duty watch; the others read seldom, as a fallback,
- * and get news from their peers.
+ * Reads the platform's configuration. A few stewards watch it for changes; the others receive changes from their peers
+ * and only poll it at long intervals as a fallback.
  */
 import { Disposable, toDisposable } from '../../../base/common/disposable.ts'
 import { waitFor } from '../../../base/node/interval.ts'
@@ -12,17 +12,18 @@
   readonly reader: PlatformReader
   readonly key: string
   readonly log: ILogService
-  /** Whether this process is among the few that watch. */
+  /** Whether this process is one of the few that watch. */
   readonly isOnDuty: () => boolean
   readonly onDidRead: (value: PlatformValue) => void
-  readonly watchMs?: number
-  /** How often a process that is not on duty reads. */
-  readonly idlePeriodMs?: number
-  readonly retryMs?: number
+  /** How long one watch call waits for a change. */
+  readonly watchTimeoutMs?: number
+  /** How often a process that does not watch polls the value. */
+  readonly fallbackPeriodMs?: number
+  readonly retryDelayMs?: number
 }
 
-/** How often a process off duty looks whether it has come on duty. */
-const DUTY_CHECK_MS = 500
+/** How often a process that does not watch checks whether it has become one that does. */
+const ROLE_CHECK_PERIOD_MS = 500
 
 export class ValueWatcher extends Disposable {
   private readonly _options: ValueWatcherOptions
@@ -35,29 +36,29 @@
     this._options = options
     this._register(toDisposable(() => options.reader.dispose()))
     this._firstRead = this._read(0)
-    void this._firstRead.then(() => this._follow())
+    void this._firstRead.then(() => this._pollUntilDisposed())
   }
 
-  /** Settles when the platform has answered once, or could not be reached. */
+  /** Resolves when the first read has completed, whether or not the platform was reachable. */
   get firstRead (): Promise<void> {
     return this._firstRead
   }
 
-  private async _follow (): Promise<void> {
-    let idleMs = 0
+  private async _pollUntilDisposed (): Promise<void> {
+    let elapsedMs = 0
     while (!this._isDisposed) {
       if (this._options.isOnDuty()) {
-        const before = performance.now()
-        await this._read(this._options.watchMs ?? 10_000)
-        // A platform that answers at once without news must not be asked without pause.
-        if (performance.now() - before < 5) await waitFor(this._options.retryMs ?? 250)
-        idleMs = 0
+        const startedAt = performance.now()
+        await this._read(this._options.watchTimeoutMs ?? 10_000)
+        // Avoids a busy loop if the platform answers at once without a new value.
+        if (performance.now() - startedAt < 5) await waitFor(this._options.retryDelayMs ?? 250)
+        elapsedMs = 0
         continue
       }
-      await waitFor(DUTY_CHECK_MS)
-      idleMs += DUTY_CHECK_MS
-      if (idleMs < (this._options.idlePeriodMs ?? 30_000)) continue
-      idleMs = 0
+      await waitFor(ROLE_CHECK_PERIOD_MS)
+      elapsedMs += ROLE_CHECK_PERIOD_MS
+      if (elapsedMs < (this._options.fallbackPeriodMs ?? 30_000)) continue
+      elapsedMs = 0
       await this._read(0)
     }
   }
@@ -65,14 +66,14 @@
   private async _read (waitMs: number): Promise<void> {
     const result = await this._options.reader.read(this._options.key, this._revision, waitMs)
     if (this._isDisposed) return
-    result.caseOf({ Left: error => this._reportUnreachable(error), Right: value => this._take(value) })
-    if (result.isLeft()) await waitFor(this._options.retryMs ?? 250)
+    result.caseOf({ Left: error => this._reportUnreachable(error), Right: value => this._acceptValue(value) })
+    if (result.isLeft()) await waitFor(this._options.retryDelayMs ?? 250)
   }
 
-  private _take (value: PlatformValue | undefined): void {
+  private _acceptValue (value: PlatformValue | undefined): void {
     if (!this._isReachable) this._options.log.info('platform_back', { key: this._options.key })
     this._isReachable = true
-    // A platform that serves stale data may answer with an older revision: nothing to learn from it.
+    // A platform that serves stale data may answer with an older revision, which is ignored.
     if (value === undefined || value.revision <= this._revision) return
     this._revision = value.revision
     this._options.onDidRead(value)
--- a/src/services/configuration/test/configurationService.test.ts
+++ b/src/services/configuration/test/configurationService.test.ts
@@ -25,7 +25,7 @@
   return new ConfigurationService(new VirtualClock())
 }
 
-test('a higher document is accepted, a lower one changes nothing', () => {
+test('a higher document is accepted, and a lower one has no effect', () => {
   const service = createService()
   assert.ok(service.offer({ text: createText(1, 5), revision: 1 }, 'platform').isRight())
   const refused = service.offer({ text: createText(1, 4), revision: 9 }, 'peer').swap().unsafeCoerce()
@@ -48,7 +48,7 @@
 ]
 
 for (const [name, text, place] of invalid) {
-  test(`${name}: refused with its place, and nothing changes`, () => {
+  test(`${name}: refused with its place, and the configuration stays unchanged`, () => {
     const service = createService()
     service.offer({ text: createText(1, 1), revision: 1 }, 'platform')
     const error = service.offer({ text, revision: 2 }, 'platform').swap().unsafeCoerce()
@@ -59,7 +59,7 @@
   })
 }
 
-test('whoever brings what in whatever order, what is in force never goes back and all end alike', () => {
+test('in any order of documents, the configuration in force never reverts and all processes converge', () => {
   const document = fc.record({ epoch: fc.integer({ min: 1, max: 2 }), version: fc.integer({ min: 1, max: 4 }), customer: fc.constantFrom('a', 'b'), revision: fc.integer({ min: 1, max: 3 }) })
   fc.assert(fc.property(fc.array(document, { minLength: 1, maxLength: 12 }), fc.infiniteStream(fc.nat()), (documents, draws) => {
     const texts = documents.map(item => ({ text: createText(item.epoch, item.version, item.customer), revision: item.revision }))
--- a/src/services/configuration/test/fetchGuard.test.ts
+++ b/src/services/configuration/test/fetchGuard.test.ts
@@ -3,13 +3,13 @@
 import { VirtualClock } from '../../../base/common/clock.ts'
 import { FetchGuard } from '../common/fetchGuard.ts'
 
-const test = suite('fetchGuard')
+const test = suite('fetchDeduplicator')
 
 function createStamp (version: number) {
   return { number: { epoch: 1, version }, revision: version }
 }
 
-test('one document is asked for once, however many offer it', () => {
+test('a document is fetched once, however many peers offer it', () => {
   const guard = new FetchGuard(new VirtualClock())
   assert.ok(guard.begin(createStamp(2), createStamp(1)))
   assert.not(guard.begin(createStamp(2), createStamp(1)))
@@ -17,13 +17,13 @@
   assert.not(guard.begin(createStamp(2), createStamp(1)))
 })
 
-test('what is held already is not asked for', () => {
+test('a document that is already held is not fetched', () => {
   const guard = new FetchGuard(new VirtualClock())
   assert.not(guard.begin(createStamp(2), createStamp(2)))
   assert.not(guard.begin(createStamp(1), createStamp(2)))
 })
 
-test('a fetch that brings nothing is given up, and another peer is asked', () => {
+test('a fetch without an answer times out, and another peer is asked', () => {
   const clock = new VirtualClock()
   const guard = new FetchGuard(clock)
   assert.ok(guard.begin(createStamp(2), createStamp(1)))
