--- a/src/entryNode/callerDirectory.ts
+++ b/src/entryNode/callerDirectory.ts
@@ -30,7 +30,7 @@
     const homes = getTable()?.listHomeRegions(host) ?? []
     const now = clock.now()
     return listNodeAddresses({
-      gates: facts.listKind('gate').map(({ value, observedAt }) => ({ ...value, ageMs: now - observedAt })),
+      gates: facts.listByKind('gate').map(({ value, observedAt }) => ({ ...value, ageMs: now - observedAt })),
       members: membership.listMembers(),
       hall,
       own: getOwnAddress(),
--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -133,8 +133,8 @@
       hall: settings.hall,
       listSeeds: () => this._settings.seeds,
       readyWaitMs: READINESS_TIMEOUT_MS,
-      isSourceNewest: true,
-      seedPeriodMs: SEED_CONTACT_PERIOD_MS,
+      isSourceAuthoritative: true,
+      seedRetryPeriodMs: SEED_CONTACT_PERIOD_MS,
       hasGates: false,
       weight: Math.round(settings.core_share * settings.core_speed * 100)
     }))
@@ -241,7 +241,7 @@
       hall: settings.hall,
       incarnation: options.incarnation,
       getStatus: () => ({ isReady: this.isReady, isDraining: this._isDraining, inFlight: this._relayServer.activeRequestCount, recentRequests: Math.round(this._recentRequestCount.value), configuration: this._fleetMember.configuration.number }),
-      onDidReport: ({ isDraining }) => this._fleetMember.gossip.spreadNow(isDraining)
+      onDidReport: ({ isDraining }) => this._fleetMember.gossip.scheduleUrgentRound(isDraining)
     })
     this._register(this._relayServer.onDidEnd(ended => this._recordCompletion(ended)))
     this._register(this._fleetMember.configuration.onDidAccept(accepted => this._applyConfiguration(accepted)))
@@ -340,7 +340,7 @@
     const { configurationSource } = this._options
     this._quota.resetOwnership()
     this._statements.backoffs.expireBackoffs()
-    this._fleetMember.askPeers()
+    this._fleetMember.refreshFromPeers()
     await Promise.race([configurationSource.readNewest(), waitFor(READINESS_TIMEOUT_MS)])
   }
 
--- a/src/entryNode/upstreamSharing.ts
+++ b/src/entryNode/upstreamSharing.ts
@@ -6,8 +6,8 @@
 import { Disposable } from '../base/common/disposable.ts'
 import { startInterval } from '../base/node/interval.ts'
 import { formatEvacuationSubject, formatLeavingSubject } from '../services/facts/common/fact.ts'
-import { isFactOf } from '../services/facts/common/factStore.ts'
-import type { FactStore, HeldFact, HeldFactOf } from '../services/facts/common/factStore.ts'
+import { isFactOfKind } from '../services/facts/common/factStore.ts'
+import type { FactStore, StoredFact, StoredFactOf } from '../services/facts/common/factStore.ts'
 import { formatPosition } from '../services/feed/common/sourcePosition.ts'
 import type { ILogService } from '../services/log/node/logger.ts'
 import type { UpstreamChange, UpstreamRegistry } from '../services/upstream/common/upstreamRegistry.ts'
@@ -90,7 +90,7 @@
    * Applies an evacuation fact. Operators write only to the source, so a peer's report holds only until this node's own
    * source has had time to confirm it.
    */
-  private _applyEvacuation ({ counter, source: peer, value: { hall, isEvacuated } }: HeldFactOf<'evacuation'>): void {
+  private _applyEvacuation ({ counter, source: peer, value: { hall, isEvacuated } }: StoredFactOf<'evacuation'>): void {
     const { clock, registry, source } = this._options
     this._pendingReadmissions.delete(hall)
     if (!isEvacuated && peer !== '' && registry.computeFreshness(clock.now()).revision < counter) return this._delayReadmission(hall, counter, peer)
@@ -155,9 +155,9 @@
     })
   }
 
-  private _handleFact (fact: HeldFact): void {
+  private _handleFact (fact: StoredFact): void {
     const { clock, registry, source } = this._options
-    if (isFactOf(fact, 'evacuation')) return this._applyEvacuation(fact)
+    if (isFactOfKind(fact, 'evacuation')) return this._applyEvacuation(fact)
     if (fact.value.kind !== 'leaving' || fact.source === '') return
     if (fact.counter === LEAVING_COUNTER) return registry.markLeaving(fact.value.upstream, PEER_SIGNAL)
     const { upstream } = fact.value
@@ -171,7 +171,7 @@
   private _removeExpiredFacts (): void {
     const { clock, facts, registry } = this._options
     const now = clock.now()
-    for (const { subject, observedAt, value } of facts.listKind('leaving')) {
+    for (const { subject, observedAt, value } of facts.listByKind('leaving')) {
       // The source's entry may still report the instance as ready, so its fact is kept as long as the entry is.
       if (now - observedAt > LEAVING_FACT_RETENTION_MS && registry.get(value.upstream) === undefined) facts.drop(subject)
     }
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -133,7 +133,7 @@
     if (metrics !== undefined) await this._register(new MetricsServer(this._metrics.metrics)).listen(metrics.host, metrics.port)
     this._register(startInterval(PAUSE_CHECK_PERIOD_MS, () => this._checkPause()))
     this._register(startInterval(SWEEP_PERIOD_MS, () => this._scheduler.sweep()))
-    this._register(startInterval(FORGET_PERIOD_MS, () => this._facts.dropOld()))
+    this._register(startInterval(FORGET_PERIOD_MS, () => this._facts.removeExpired()))
     this._register(startInterval(FACT_PERIOD_MS, () => this._announceIfDue()))
     log.info('listening', { address: settings.address, hall: settings.hall })
   }
@@ -237,7 +237,7 @@
   /** The settings' stewards, then others of the view, those of this hall first. */
   private _listStewards (): readonly string[] {
     const { settings } = this._options
-    const live = this._facts.listKind('member').map(fact => fact.value).filter(member => member.state === 'alive')
+    const live = this._facts.listByKind('member').map(fact => fact.value).filter(member => member.state === 'alive')
     const learned = [...live.filter(member => member.hall === settings.hall), ...live.filter(member => member.hall !== settings.hall)]
     return [...new Set([...settings.stewards, ...learned.map(member => member.address)])]
   }
@@ -287,13 +287,13 @@
 
   private _viewGates (): readonly GateView[] {
     const now = this._options.clock.now()
-    return this._facts.listKind('gate').map(fact => ({ ...fact.value, ageMs: now - fact.observedAt }))
+    return this._facts.listByKind('gate').map(fact => ({ ...fact.value, ageMs: now - fact.observedAt }))
   }
 
   private async _catchUp (number: ConfigurationNumber): Promise<boolean> {
     const until = this._options.clock.now() + CATCH_UP_MS
     const isBehind = () => compareNumbers(this._configuration.number, number) < 0
-    this._subscription.askConfiguration()
+    this._subscription.askForConfiguration()
     while (isBehind() && this._options.clock.now() < until) await waitFor(POLL_MS)
     return !isBehind()
   }
--- a/src/load/memberBench.ts
+++ b/src/load/memberBench.ts
@@ -106,9 +106,9 @@
       random: new SeededRandom(index + 1),
       log: this._log,
       listSeeds: () => seeds,
-      seedPeriodMs: 200,
+      seedRetryPeriodMs: 200,
       readyWaitMs: 3000,
-      isSourceNewest: true,
+      isSourceAuthoritative: true,
       hasGates: false
     })
   }
--- a/src/services/facts/common/fact.ts
+++ b/src/services/facts/common/fact.ts
@@ -52,7 +52,7 @@
 }
 
 /** A run that the fact's writer had in flight at an upstream when the upstream ended. */
-export interface RunAtEnd {
+export interface InterruptedRun {
   /** The digest that all attempts of one request share. */
   readonly digest: string
   readonly bodyBytes: number
@@ -64,7 +64,7 @@
 export interface EndedFact {
   readonly kind: 'ended'
   readonly upstream: string
-  readonly runs: readonly RunAtEnd[]
+  readonly runs: readonly InterruptedRun[]
 }
 
 /** Ends of upstreams before this fact no longer count as evidence against a request. */
--- a/src/services/facts/common/factStore.ts
+++ b/src/services/facts/common/factStore.ts
@@ -8,7 +8,7 @@
 import type { Fact, FactValue } from './fact.ts'
 
 /** A fact as it is stored. */
-export interface HeldFact {
+export interface StoredFact {
   readonly subject: string
   readonly incarnation: number
   readonly counter: number
@@ -22,9 +22,9 @@
 }
 
 /** A stored fact whose value is of one kind. */
-export type HeldFactOf<K extends FactValue['kind']> = HeldFact & { readonly value: FactValue & { readonly kind: K } }
+export type StoredFactOf<K extends FactValue['kind']> = StoredFact & { readonly value: FactValue & { readonly kind: K } }
 
-export function isFactOf<K extends FactValue['kind']> (fact: HeldFact, kind: K): fact is HeldFactOf<K> {
+export function isFactOfKind<K extends FactValue['kind']> (fact: StoredFact, kind: K): fact is StoredFactOf<K> {
   return fact.value.kind === kind
 }
 
@@ -37,12 +37,12 @@
 const MAX_FACTS = 20_000
 
 export class FactStore extends Disposable {
-  private readonly _facts = new Map<string, HeldFact>()
+  private readonly _facts = new Map<string, StoredFact>()
   /** Cached until a fact of the kind changes: members are read with every request and rarely change. */
-  private readonly _listsByKind = new Map<FactValue['kind'], readonly HeldFact[]>()
+  private readonly _listsByKind = new Map<FactValue['kind'], readonly StoredFact[]>()
   private _sequence = 0
   private _evidenceCount = 0
-  private readonly _onDidChange = this._register(new Emitter<HeldFact>())
+  private readonly _onDidChange = this._register(new Emitter<StoredFact>())
   readonly onDidChange = this._onDidChange.event
 
   constructor (private readonly _clock: IClock) {
@@ -70,7 +70,7 @@
     }
     const { subject, incarnation, counter, value } = fact
     const observedAt = this._clock.now() - fact.ageMs
-    const updated: HeldFact = { subject, incarnation, counter, value, observedAt, sequence: ++this._sequence, source }
+    const updated: StoredFact = { subject, incarnation, counter, value, observedAt, sequence: ++this._sequence, source }
     // A changed fact moves to the end, so that the map stays in sequence order.
     this._facts.delete(subject)
     this._facts.set(subject, updated)
@@ -79,7 +79,7 @@
     return true
   }
 
-  get (subject: string): HeldFact | undefined {
+  get (subject: string): StoredFact | undefined {
     return this._facts.get(subject)
   }
 
@@ -93,22 +93,22 @@
   }
 
   /** Removes expired facts. */
-  dropOld (): void {
+  removeExpired (): void {
     const now = this._clock.now()
     for (const kind of EXPIRING_KINDS) {
-      for (const fact of this.listKind(kind)) if (now - fact.observedAt > MAX_FACT_AGE_MS) this.drop(fact.subject)
+      for (const fact of this.listByKind(kind)) if (now - fact.observedAt > MAX_FACT_AGE_MS) this.drop(fact.subject)
     }
   }
 
-  list (): readonly HeldFact[] {
+  list (): readonly StoredFact[] {
     return [...this._facts.values()]
   }
 
   /** The facts of one kind; the same array until one of them changes. */
-  listKind<K extends FactValue['kind']>(kind: K): readonly HeldFactOf<K>[] {
+  listByKind<K extends FactValue['kind']>(kind: K): readonly StoredFactOf<K>[] {
     const cached = this._listsByKind.get(kind) ?? this.list().filter(fact => fact.value.kind === kind)
     this._listsByKind.set(kind, cached)
-    return cached as readonly HeldFactOf<K>[]
+    return cached as readonly StoredFactOf<K>[]
   }
 
   /**
@@ -118,8 +118,8 @@
    * the cause of an end although they have been served since.
    */
   listSince (sequence: number, excludedSource: string, excludedAfter = 0): readonly Fact[] {
-    const otherFacts: HeldFact[] = []
-    const clearedFacts: HeldFact[] = []
+    const otherFacts: StoredFact[] = []
+    const clearedFacts: StoredFact[] = []
     for (const stored of this._facts.values()) {
       const isKnownToReceiver = excludedSource !== '' && stored.source === excludedSource && stored.sequence > excludedAfter
       if (stored.sequence <= sequence || isKnownToReceiver) continue
@@ -130,7 +130,7 @@
   }
 
   /** Converts stored facts to the form in which they are sent, with their age at present. */
-  createFacts (stored: readonly HeldFact[]): readonly Fact[] {
+  createFacts (stored: readonly StoredFact[]): readonly Fact[] {
     const now = this._clock.now()
     return stored.map(({ subject, incarnation, counter, value, observedAt }) => ({ subject, incarnation, counter, value, ageMs: Math.max(0, Math.round(now - observedAt)) }))
   }
--- a/src/services/facts/node/stewardSubscription.ts
+++ b/src/services/facts/node/stewardSubscription.ts
@@ -59,7 +59,7 @@
   }
 
   /** Announces the local configuration to the steward, so that a higher one is sent in return. */
-  askConfiguration (): void {
+  askForConfiguration (): void {
     this._link?.announceConfiguration()
   }
 
--- a/src/services/facts/test/factStore.test.ts
+++ b/src/services/facts/test/factStore.test.ts
@@ -88,7 +88,7 @@
   const fact: Fact = { subject: 'gate/g', incarnation: 1, counter: 1, value, ageMs: 0 }
   store.merge(fact)
   clock.advance(600_001)
-  store.dropOld()
+  store.removeExpired()
   assert.is(store.get('gate/g'), undefined)
   assert.not(store.merge({ ...fact, ageMs: 600_001 }))
   assert.ok(store.merge({ ...fact, ageMs: 1000 }))
@@ -105,14 +105,14 @@
 test('the facts of one kind are the same list until one of them changes', () => {
   const store = new FactStore(new VirtualClock())
   store.merge(createLeaving(1))
-  const before = store.listKind('leaving')
+  const before = store.listByKind('leaving')
   store.merge(createLoad(1, 1))
-  assert.is(store.listKind('leaving'), before)
+  assert.is(store.listByKind('leaving'), before)
   store.merge(createLeaving(2))
-  assert.equal(store.listKind('leaving').map(fact => fact.incarnation), [2])
+  assert.equal(store.listByKind('leaving').map(fact => fact.incarnation), [2])
   store.drop('leaving/u')
-  assert.equal(store.listKind('leaving'), [])
-  assert.is(store.listKind('load').length, 1)
+  assert.equal(store.listByKind('leaving'), [])
+  assert.is(store.listByKind('load').length, 1)
 })
 
 test.run()
--- a/src/services/membership/common/duty.ts
+++ b/src/services/membership/common/duty.ts
@@ -14,15 +14,15 @@
   return rankByRendezvous(key, members.map(member => member.address)).slice(0, count).includes(address)
 }
 
-export function watchesUpstream (upstream: string, address: string, live: readonly Member[]): boolean {
+export function isUpstreamWatcher (upstream: string, address: string, live: readonly Member[]): boolean {
   return isAmongFirst(`watch/${upstream}`, address, live, UPSTREAM_WATCHERS)
 }
 
-export function watchesPlatform (hall: string, address: string, live: readonly Member[]): boolean {
+export function isPlatformWatcher (hall: string, address: string, live: readonly Member[]): boolean {
   return isAmongFirst(`platform/${hall}`, address, live.filter(member => member.hall === hall), PLATFORM_WATCHERS)
 }
 
 /** A single steward issues the orders to all engines of a hall, so that it alone enforces the limit on model loads there. */
-export function ordersHall (hall: string, address: string, live: readonly Member[]): boolean {
+export function isOrderIssuer (hall: string, address: string, live: readonly Member[]): boolean {
   return isAmongFirst(`order/${hall}`, address, live, 1)
 }
--- a/src/services/membership/common/membershipTable.ts
+++ b/src/services/membership/common/membershipTable.ts
@@ -8,7 +8,7 @@
 import type { IRandom } from '../../../base/common/random.ts'
 import { formatMemberSubject } from '../../facts/common/fact.ts'
 import type { MemberState } from '../../facts/common/fact.ts'
-import type { FactStore, HeldFact, HeldFactOf } from '../../facts/common/factStore.ts'
+import type { FactStore, StoredFact, StoredFactOf } from '../../facts/common/factStore.ts'
 
 export interface MembershipOptions {
   readonly address: string
@@ -36,7 +36,7 @@
 
 /** Member lists derived from facts, with the list of facts they were derived from. */
 interface MemberSnapshot {
-  readonly facts: readonly HeldFactOf<'member'>[]
+  readonly facts: readonly StoredFactOf<'member'>[]
   readonly members: readonly Member[]
   readonly live: readonly Member[]
   readonly peers: readonly Member[]
@@ -58,7 +58,7 @@
   private readonly _stateChangedAt = new Map<string, number>()
   private _probeOrder: readonly string[] = []
   private _suspicionCount = 0
-  private _digest: { readonly facts: readonly HeldFactOf<'member'>[], readonly value: number } = { facts: [], value: 0 }
+  private _digest: { readonly facts: readonly StoredFactOf<'member'>[], readonly value: number } = { facts: [], value: 0 }
   private _snapshot: MemberSnapshot = { facts: [], members: [], live: [], peers: [], peerAddresses: [] }
 
   constructor (options: MembershipOptions) {
@@ -129,7 +129,7 @@
   }
 
   /** Facts that a peer may lack: live members and those that died or left recently. Older facts are about to be removed. */
-  listFactsToSync (): readonly HeldFactOf<'member'>[] {
+  listFactsToSync (): readonly StoredFactOf<'member'>[] {
     const now = this._options.clock.now()
     return this._listFacts().filter(fact => !isDeadOrLeft(fact.value.state) || now - fact.observedAt < DEPARTED_SYNC_MS)
   }
@@ -176,7 +176,7 @@
     facts.merge({ subject: formatMemberSubject(address), incarnation: this._incarnation, counter: STATE_PRECEDENCE[this._state], value, ageMs: 0 })
   }
 
-  private _handleFact (fact: HeldFact): void {
+  private _handleFact (fact: StoredFact): void {
     if (fact.value.kind !== 'member') return
     this._stateChangedAt.set(fact.subject, this._options.clock.now())
     if (fact.value.address !== this._options.address) return
@@ -186,7 +186,7 @@
     this._announce()
   }
 
-  private _mergeState (fact: HeldFactOf<'member'>, state: MemberState): void {
+  private _mergeState (fact: StoredFactOf<'member'>, state: MemberState): void {
     const { subject, incarnation, value } = fact
     this._options.facts.merge({ subject, incarnation, counter: STATE_PRECEDENCE[state], value: { ...value, state }, ageMs: 0 })
   }
@@ -196,16 +196,16 @@
     this._stateChangedAt.delete(subject)
   }
 
-  private _findFact (address: string): HeldFactOf<'member'> | undefined {
+  private _findFact (address: string): StoredFactOf<'member'> | undefined {
     return this._listFacts().find(fact => fact.value.address === address)
   }
 
-  private _listFacts (): readonly HeldFactOf<'member'>[] {
-    return this._options.facts.listKind('member')
+  private _listFacts (): readonly StoredFactOf<'member'>[] {
+    return this._options.facts.listByKind('member')
   }
 }
 
-function digestFacts (facts: readonly HeldFactOf<'member'>[]): number {
+function digestFacts (facts: readonly StoredFactOf<'member'>[]): number {
   let digest = 0
   for (const { subject, incarnation, counter, value } of facts) if (!isDeadOrLeft(value.state)) digest ^= hashText(`${subject}/${incarnation}/${counter}`)
   return digest >>> 0
--- a/src/services/membership/node/fleetMember.ts
+++ b/src/services/membership/node/fleetMember.ts
@@ -14,7 +14,7 @@
 import type { ConfigurationText } from '../../configuration/common/configurationDocument.ts'
 import { FetchGuard } from '../../configuration/common/fetchGuard.ts'
 import { FactStore } from '../../facts/common/factStore.ts'
-import type { HeldFact } from '../../facts/common/factStore.ts'
+import type { StoredFact } from '../../facts/common/factStore.ts'
 import { PeerLink, sumTraffic } from '../../facts/node/peerLink.ts'
 import type { LinkTraffic } from '../../facts/node/peerLink.ts'
 import type { ILogService } from '../../log/node/logger.ts'
@@ -40,13 +40,13 @@
   readonly listSeeds: () => readonly string[]
   readonly probePeriodMs?: number
   /** How often the seeds are tried again while no other member is known. */
-  readonly seedPeriodMs?: number
+  readonly seedRetryPeriodMs?: number
   /** False if gates never connect to this process, which saves a timer. */
   readonly hasGates?: boolean
   /** How long a starting process waits for the configuration source and for its peers. */
   readonly readyWaitMs: number
   /** Whether the first read of the source returns all acknowledged writes, so that no peer can have a higher configuration. */
-  readonly isSourceNewest?: boolean
+  readonly isSourceAuthoritative?: boolean
 }
 
 /** How often gates are sent new facts. */
@@ -121,7 +121,7 @@
       listAcceptedLinks: () => this._listAcceptedPeerLinks(),
       probePeriodMs: options.probePeriodMs,
       probeTimeoutMs: () => computeProbeTimeoutMs(this.membership.listLive().map(member => member.weight)),
-      seedPeriodMs: options.seedPeriodMs
+      seedRetryPeriodMs: options.seedRetryPeriodMs
     }))
     this._register(this.configuration.onDidAccept(accepted => this._handleAcceptedConfiguration(accepted)))
     this._register(this.facts.onDidChange(fact => this._handleFact(fact)))
@@ -162,9 +162,9 @@
    * be ready; otherwise hosts that start together would wait for each other.
    */
   async join (sourceRead: Promise<unknown>): Promise<void> {
-    const { clock, readyWaitMs, isSourceNewest: isAuthoritative = false } = this._options
+    const { clock, readyWaitMs, isSourceAuthoritative: isAuthoritative = false } = this._options
     if (this._options.hasGates !== false) this._register(startInterval(GATE_PUSH_PERIOD_MS, () => this.pushToGates()))
-    this._register(startInterval(EXPIRY_PERIOD_MS, () => this.facts.dropOld()))
+    this._register(startInterval(EXPIRY_PERIOD_MS, () => this.facts.removeExpired()))
     this._register(startInterval(ANNOUNCE_PERIOD_MS, () => this._announceConfiguration(PERIODIC_ANNOUNCE_FANOUT)))
     const deadline = clock.now() + readyWaitMs
     const sourceResult = Promise.race([sourceRead, waitFor(readyWaitMs).then(() => false)])
@@ -206,7 +206,7 @@
   }
 
   /** Requests all facts from every linked peer, and its configuration if that is higher than the local one. */
-  askPeers (): void {
+  refreshFromPeers (): void {
     for (const link of this.gossip.links) link.askForRefresh(0)
   }
 
@@ -221,7 +221,7 @@
   /** Announces a planned stop to peers and gates, and waits until the announcement has had time to propagate. */
   async leave (): Promise<void> {
     this.membership.leave()
-    this.gossip.spreadNow(true)
+    this.gossip.scheduleUrgentRound(true)
     this.pushToGates()
     await waitFor(LEAVE_PROPAGATION_MS)
   }
@@ -274,7 +274,7 @@
     this._announceConfiguration(CHANGE_ANNOUNCE_FANOUT)
   }
 
-  private _handleFact (fact: HeldFact): void {
+  private _handleFact (fact: StoredFact): void {
     const { value } = fact
     if (value.kind === 'leaving') {
       this._options.log.info('upstream_leaving', { upstream: value.upstream, incarnation: fact.incarnation, signal: value.signal, source: fact.source })
@@ -288,6 +288,6 @@
     // round is soon enough for suspicions and for the facts that refute them.
     if (value.kind === 'member' && (value.state === 'suspect' || value.state === 'alive') && fact.source !== '') return
     // All other facts that reach this line are urgent.
-    this.gossip.spreadNow(value.kind === 'member' && value.state === 'left' && fact.source === '')
+    this.gossip.scheduleUrgentRound(value.kind === 'member' && value.state === 'left' && fact.source === '')
   }
 }
--- a/src/services/membership/node/gossipService.ts
+++ b/src/services/membership/node/gossipService.ts
@@ -36,7 +36,7 @@
   readonly gossipPeriodMs?: number
   /** How often one peer is sent all facts since the last such exchange over its link. */
   readonly antiEntropyPeriodMs?: number
-  readonly seedPeriodMs?: number
+  readonly seedRetryPeriodMs?: number
 }
 
 /** Number of members that recent facts are sent to in each round. */
@@ -100,7 +100,7 @@
     this._register(startInterval(options.gossipPeriodMs ?? 200, () => this._runGossipRound()))
     this._register(startInterval(options.antiEntropyPeriodMs ?? 4000, () => this._reconcileWithPeer()))
     this._neighbourSelector = new NeighbourSelector(options.link.hello.address)
-    this._register(startInterval(options.seedPeriodMs ?? 2000, () => this._connectSeedsIfAlone()))
+    this._register(startInterval(options.seedRetryPeriodMs ?? 2000, () => this._connectSeedsIfAlone()))
     this._register(startInterval(MEMBER_DIGEST_PERIOD_MS, () => this._sendMemberDigest()))
     this._register(startInterval(LINK_MAINTENANCE_PERIOD_MS, () => this._updateLinks()))
   }
@@ -171,7 +171,7 @@
   }
 
   /** Sends recent facts before the next round: to LEAVE_FANOUT members if this one leaves, otherwise to URGENT_FANOUT. */
-  spreadNow (isLeaving: boolean): void {
+  scheduleUrgentRound (isLeaving: boolean): void {
     this._urgentFanout = Math.max(this._urgentFanout, isLeaving ? LEAVE_FANOUT : URGENT_FANOUT)
     if (this._urgentTimer !== undefined) return
     this._urgentTimer = setTimeout(() => {
--- a/src/services/membership/test/boundedLinks.test.ts
+++ b/src/services/membership/test/boundedLinks.test.ts
@@ -40,7 +40,7 @@
     log: new LogService({ program: 'test', silent: true }),
     listSeeds: () => addresses.slice(0, SEED_COUNT),
     readyWaitMs: 500,
-    seedPeriodMs: 100,
+    seedRetryPeriodMs: 100,
     hasGates: false
   })
 }
--- a/src/services/membership/test/fleetMember.test.ts
+++ b/src/services/membership/test/fleetMember.test.ts
@@ -21,7 +21,7 @@
     log: new LogService({ program: 'test', silent: true }),
     listSeeds: () => [`127.0.0.1:${seedPort}`],
     readyWaitMs: 100,
-    seedPeriodMs: 50,
+    seedRetryPeriodMs: 50,
     ...options
   })
 }
@@ -46,8 +46,8 @@
   const port = await findFreePort()
   const silent = createServer(() => {})
   await new Promise<void>(resolve => { silent.listen(0, '127.0.0.1', resolve) })
-  const found = createMember(port, (silent.address() as AddressInfo).port, { isSourceNewest: true, readyWaitMs: 5000 })
-  const finder = createMember(1, port, { isSourceNewest: true, readyWaitMs: 5000 })
+  const found = createMember(port, (silent.address() as AddressInfo).port, { isSourceAuthoritative: true, readyWaitMs: 5000 })
+  const finder = createMember(1, port, { isSourceAuthoritative: true, readyWaitMs: 5000 })
   try {
     await found.listen({ host: '127.0.0.1', port })
     const joining = found.join(Promise.resolve(true))
@@ -72,7 +72,7 @@
   test(`a member whose source ${name} is ${isReadyBeforePeers ? '' : 'not '}ready before the wait for its unresponsive seed times out`, async () => {
     const silent = createServer(() => {})
     await new Promise<void>(resolve => { silent.listen(0, '127.0.0.1', resolve) })
-    const member = createMember(1, (silent.address() as AddressInfo).port, { isSourceNewest: isAuthoritative, readyWaitMs: 400 })
+    const member = createMember(1, (silent.address() as AddressInfo).port, { isSourceAuthoritative: isAuthoritative, readyWaitMs: 400 })
     try {
       const joining = member.join(Promise.resolve(isRead))
       await new Promise(resolve => { setImmediate(resolve) })
--- a/src/services/membership/test/membershipTable.test.ts
+++ b/src/services/membership/test/membershipTable.test.ts
@@ -4,7 +4,7 @@
 import { VirtualClock } from '../../../base/common/clock.ts'
 import { SeededRandom } from '../../../base/common/random.ts'
 import { FactStore } from '../../facts/common/factStore.ts'
-import { ordersHall, watchesPlatform, watchesUpstream } from '../common/duty.ts'
+import { isOrderIssuer, isPlatformWatcher, isUpstreamWatcher } from '../common/duty.ts'
 import { MembershipTable } from '../common/membershipTable.ts'
 
 const SEED = 20261207
@@ -122,14 +122,14 @@
   const rest = members.slice(1)
   for (let index = 0; index < 40; index++) {
     const upstream = `u${index}`
-    const watchers = members.filter(member => watchesUpstream(upstream, member.address, members))
+    const watchers = members.filter(member => isUpstreamWatcher(upstream, member.address, members))
     assert.is(watchers.length, 2)
-    const after = rest.filter(member => watchesUpstream(upstream, member.address, rest))
+    const after = rest.filter(member => isUpstreamWatcher(upstream, member.address, rest))
     for (const watcher of watchers) if (watcher !== members[0]) assert.ok(after.includes(watcher))
   }
   for (const hall of ['h0', 'h1', 'h2']) {
-    assert.is(members.filter(member => member.hall === hall && watchesPlatform(hall, member.address, members)).length, 2)
-    assert.is(members.filter(member => ordersHall(hall, member.address, members)).length, 1)
+    assert.is(members.filter(member => member.hall === hall && isPlatformWatcher(hall, member.address, members)).length, 2)
+    assert.is(members.filter(member => isOrderIssuer(hall, member.address, members)).length, 1)
   }
 })
 
--- a/src/services/membership/test/silentLinks.test.ts
+++ b/src/services/membership/test/silentLinks.test.ts
@@ -31,7 +31,7 @@
   const members = addresses.map((address, index) => {
     const log = new LogService({ program: 'test', silent: true })
     log.onDidLog(event => { events.push(event.line) })
-    return new FleetMember({ address, hall: 'h', incarnation: 1, clock: new SystemClock(), random: new SeededRandom(index), log, listSeeds: () => addresses, readyWaitMs: 500, probePeriodMs: 200, seedPeriodMs: 100 })
+    return new FleetMember({ address, hall: 'h', incarnation: 1, clock: new SystemClock(), random: new SeededRandom(index), log, listSeeds: () => addresses, readyWaitMs: 500, probePeriodMs: 200, seedRetryPeriodMs: 100 })
   })
   try {
     await Promise.all(members.map((member, index) => member.listen({ host: '127.0.0.1', port: targets[index] ?? 0 })))
--- a/src/services/quarantine/node/quarantineService.ts
+++ b/src/services/quarantine/node/quarantineService.ts
@@ -7,8 +7,8 @@
 import { Disposable } from '../../../base/common/disposable.ts'
 import { startInterval } from '../../../base/node/interval.ts'
 import { formatClearedSubject, formatEndedSubject } from '../../facts/common/fact.ts'
-import type { RunAtEnd } from '../../facts/common/fact.ts'
-import type { FactStore, HeldFact } from '../../facts/common/factStore.ts'
+import type { InterruptedRun } from '../../facts/common/fact.ts'
+import type { FactStore, StoredFact } from '../../facts/common/factStore.ts'
 import type { ILogService } from '../../log/node/logger.ts'
 import type { UpstreamRegistry } from '../../upstream/common/upstreamRegistry.ts'
 import type { IQuarantineService, IRequestDigest, LostRun } from '../common/quarantine.ts'
@@ -31,7 +31,7 @@
 
 /** An upstream to which a connection was lost, with this node's runs there. */
 class LostUpstream {
-  readonly runs: RunAtEnd[] = []
+  readonly runs: InterruptedRun[] = []
   /** Set if the probe did not prove a crash. The upstream may crash later, so the next lost connection starts a new probe. */
   canProbeAgain = false
 
@@ -159,7 +159,7 @@
     return true
   }
 
-  private _processFact ({ value, observedAt }: HeldFact): void {
+  private _processFact ({ value, observedAt }: StoredFact): void {
     if (value.kind !== 'ended' && value.kind !== 'cleared') return
     this._scheduleQuarantineLog()
     if (value.kind === 'cleared') return this._tracker.clear(value.digest, observedAt, { isServed: value.isServed })
--- a/src/services/quota/node/rateLimitService.ts
+++ b/src/services/quota/node/rateLimitService.ts
@@ -5,8 +5,8 @@
 import type { IClock } from '../../../base/common/clock.ts'
 import { Disposable } from '../../../base/common/disposable.ts'
 import { formatLimitSubject } from '../../facts/common/fact.ts'
-import { isFactOf } from '../../facts/common/factStore.ts'
-import type { FactStore, HeldFactOf } from '../../facts/common/factStore.ts'
+import { isFactOfKind } from '../../facts/common/factStore.ts'
+import type { FactStore, StoredFactOf } from '../../facts/common/factStore.ts'
 import type { ILogService } from '../../log/node/logger.ts'
 import { RateLimitTable } from '../common/rateLimitTable.ts'
 import type { ObservedRateLimit } from '../common/rateLimitTable.ts'
@@ -41,7 +41,7 @@
   constructor (options: RateLimitServiceOptions) {
     super()
     this._options = options
-    this._register(options.facts.onDidChange(fact => { if (isFactOf(fact, 'limit') && fact.source !== '') this._applyFact(fact) }))
+    this._register(options.facts.onDidChange(fact => { if (isFactOfKind(fact, 'limit') && fact.source !== '') this._applyFact(fact) }))
   }
 
   /** Records the limit stated in an answer, in requests per second; undefined if the upstream stated that it has none. */
@@ -67,7 +67,7 @@
     return this._table.listLimits().map(({ upstream, perS = 0, observedAt }) => ({ upstream, perS, ageMs: Math.round(now - observedAt) }))
   }
 
-  private _applyFact ({ value: { upstream, perS }, observedAt, source }: HeldFactOf<'limit'>): void {
+  private _applyFact ({ value: { upstream, perS }, observedAt, source }: StoredFactOf<'limit'>): void {
     this._apply({ upstream, perS, observedAt }, source)
   }
 
--- a/src/services/scheduling/common/upstreamDirectory.ts
+++ b/src/services/scheduling/common/upstreamDirectory.ts
@@ -52,7 +52,7 @@
     const now = this._clock.now()
     if (now - this._countedAt < GATE_COUNT_CACHE_MS) return this._liveGateCount
     this._countedAt = now
-    const live = this._facts.listKind('gate').filter(fact => now - fact.observedAt < GATE_TIMEOUT_MS && !fact.value.draining)
+    const live = this._facts.listByKind('gate').filter(fact => now - fact.observedAt < GATE_TIMEOUT_MS && !fact.value.draining)
     this._liveGateCount = Math.max(1, live.length)
     return this._liveGateCount
   }
--- a/src/services/upstream/node/upstreamWatcher.ts
+++ b/src/services/upstream/node/upstreamWatcher.ts
@@ -6,7 +6,7 @@
 import { startInterval } from '../../../base/node/interval.ts'
 import type { Upstream } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { formatLeavingSubject, formatLoadSubject } from '../../facts/common/fact.ts'
-import type { FactStore, HeldFact } from '../../facts/common/factStore.ts'
+import type { FactStore, StoredFact } from '../../facts/common/factStore.ts'
 import type { UpstreamAdapter, UpstreamReport } from '../common/upstreamAdapter.ts'
 
 export interface UpstreamWatcherOptions {
@@ -54,7 +54,7 @@
 const MIN_BACKLOG_CHANGE = 0.125
 
 /** Whether a report differs too little from the known fact to affect decisions. */
-export function isUnchanged (known: HeldFact | undefined, report: UpstreamReport, now: number): boolean {
+export function isUnchanged (known: StoredFact | undefined, report: UpstreamReport, now: number): boolean {
   if (known?.value.kind !== 'load' || known.incarnation !== report.boot) return false
   const { value } = known
   if (now - known.observedAt >= UNCHANGED_REPORT_PERIOD_MS || value.fencing !== report.fencing || value.capacity !== report.capacity) return false
--- a/src/steward/steward.ts
+++ b/src/steward/steward.ts
@@ -18,7 +18,7 @@
 import { DecisionLog } from '../services/inspect/common/decisionLog.ts'
 import { createOperatorHandlers } from '../services/inspect/node/operatorHandlers.ts'
 import type { ILogService } from '../services/log/node/logger.ts'
-import { ordersHall, watchesPlatform, watchesUpstream } from '../services/membership/common/duty.ts'
+import { isOrderIssuer, isPlatformWatcher, isUpstreamWatcher } from '../services/membership/common/duty.ts'
 import type { Member } from '../services/membership/common/membershipTable.ts'
 import { FleetMember } from '../services/membership/node/fleetMember.ts'
 import { MetricsRegistry, MetricsServer } from '../services/metrics/node/metricsServer.ts'
@@ -108,7 +108,7 @@
       localAddress: settings.local_ip,
       onDidCall: isOk => calls.inc({ result: isOk ? 'ok' : 'failed' })
     })
-    const isOnDuty = () => watchesPlatform(settings.hall, settings.address, this._member.membership.listLive())
+    const isOnDuty = () => isPlatformWatcher(settings.hall, settings.address, this._member.membership.listLive())
     return this._register(new ValueWatcher({ reader, key, log, isOnDuty, onDidRead }))
   }
 
@@ -142,7 +142,7 @@
       adapter,
       clock,
       facts: this._member.facts,
-      listWatched: () => listDuties((upstream, live) => watchesUpstream(upstream.name, settings.address, live)),
+      listWatched: () => listDuties((upstream, live) => isUpstreamWatcher(upstream.name, settings.address, live)),
       onDidRead: isOk => reads.inc({ result: isOk ? 'ok' : 'failed' }),
       periodMs: settings.report_period_ms
     }))
@@ -154,7 +154,7 @@
       decisions: this._decisions,
       log,
       listOrdered: () => this._member.isReady && !this._isDraining
-        ? listDuties((upstream, live) => ordersHall(upstream.hall, settings.address, live))
+        ? listDuties((upstream, live) => isOrderIssuer(upstream.hall, settings.address, live))
         : [],
       hearsMajority: () => this._hearsMajority()
     }))
@@ -181,7 +181,7 @@
     this._metrics.createGauge('suspicions_total', 'Stewards suspected by this one', () => this._member.membership.suspicionCount)
     this._metrics.createGauge('control_bytes_sent', 'Bytes sent to other processes of the system', () => this._member.traffic.sent)
     this._metrics.createGauge('control_bytes_received', 'Bytes received from other processes of the system', () => this._member.traffic.received)
-    this._metrics.createGauge('upstreams_leaving', 'Upstream incarnations marked as leaving', () => this._member.facts.listKind('leaving').length)
+    this._metrics.createGauge('upstreams_leaving', 'Upstream incarnations marked as leaving', () => this._member.facts.listByKind('leaving').length)
     this._metrics.createGauge('facts', 'Facts held', () => this._member.facts.size)
     this._metrics.createGauge('gates_linked', 'Gates linked to this steward', () => this._member.listGateLinks().length)
     this._metrics.createGauge('configuration_version', 'Version of the configuration in force', () => this._member.configuration.number.version)
