--- a/src/entryNode/callerDirectory.ts
+++ b/src/entryNode/callerDirectory.ts
@@ -6,7 +6,7 @@
 import type { IClock } from '../base/common/clock.ts'
 import type { HallRegions } from '../services/locate/common/hallRegions.ts'
 import { listNodeAddresses } from '../services/locate/common/nodeDirectory.ts'
-import type { AddressAnswer, CallerPlace } from '../services/locate/common/nodeDirectory.ts'
+import type { AddressAnswer, CallerLocation } from '../services/locate/common/nodeDirectory.ts'
 import type { MembershipTable } from '../services/membership/common/membershipTable.ts'
 
 export interface CallerDirectoryOptions {
@@ -25,7 +25,7 @@
   constructor (private readonly _options: CallerDirectoryOptions) {}
 
   /** Returns the addresses that callers should use and for how long; prefers the home regions of the routes of their host. */
-  locate ({ host, hall, region }: CallerPlace): AddressAnswer {
+  locate ({ host, hall, region }: CallerLocation): AddressAnswer {
     const { clock, facts, membership, regions, hall: ownHall, getTable, getOwnAddress, getMaxKeepMs } = this._options
     const homes = getTable()?.listHomeRegions(host) ?? []
     const now = clock.now()
@@ -33,7 +33,7 @@
       gates: facts.listByKind('gate').map(({ value, observedAt }) => ({ ...value, ageMs: now - observedAt })),
       members: membership.listMembers(),
       hall,
-      own: getOwnAddress(),
+      ownAddress: getOwnAddress(),
       ownHall,
       isHome: homes.length === 0 ? undefined : nodeHall => [region, ...homes].includes(regions.findRegion(nodeHall) ?? ''),
       maxKeepMs: getMaxKeepMs()
--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -20,7 +20,7 @@
 import { EjectingTracker } from '../services/health/common/healthTracker.ts'
 import type { ILogService } from '../services/log/node/logger.ts'
 import { HallRegions } from '../services/locate/common/hallRegions.ts'
-import type { AddressAnswer, CallerPlace } from '../services/locate/common/nodeDirectory.ts'
+import type { AddressAnswer, CallerLocation } from '../services/locate/common/nodeDirectory.ts'
 import { FleetMember } from '../services/membership/node/fleetMember.ts'
 import { PauseDetector } from '../services/pause/common/pauseDetector.ts'
 import { PauseRecovery } from '../services/pause/node/pauseRecovery.ts'
@@ -287,7 +287,7 @@
   }
 
   /** Returns the addresses that callers should use, and for how long they may cache them. */
-  locate (place: CallerPlace): AddressAnswer {
+  locate (place: CallerLocation): AddressAnswer {
     return this._callerDirectory.locate(place)
   }
 
@@ -356,7 +356,7 @@
   /** A home region without any hall stays in force, so its requests are refused; the warning tells operators why. */
   private _checkHomeRegions (table: RelayTable): void {
     for (const { of, regions } of table.listAllHomeRegions()) {
-      for (const region of this._hallRegions.listUnknown(regions)) this._options.log.warn('home_unknown', { of, region })
+      for (const region of this._hallRegions.listUnknownRegions(regions)) this._options.log.warn('home_unknown', { of, region })
     }
   }
 
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -172,7 +172,7 @@
       createQueue: () => createQueue(settings.policy),
       createLimiter: () => createLimiter(settings.policy),
       createHealth: () => createHealth(settings.policy),
-      dropsHopeless: settings.policy.queue === 'fair'
+      dropsInfeasible: settings.policy.queue === 'fair'
     })
   }
 
--- a/src/gate/gateRequests.ts
+++ b/src/gate/gateRequests.ts
@@ -177,7 +177,7 @@
     const { scheduler } = this._options
     return pipeline.stages.slice(stagesDone).map(stage => ({
       role: stage.role,
-      usualMs: scheduler.latencies.getUsual(formatStageKey(pipeline, stage)),
+      usualMs: scheduler.latencies.getMeanMs(formatStageKey(pipeline, stage)),
       slots: scheduler.countSlots(stage.role)
     }))
   }
--- a/src/load/decisionBench.ts
+++ b/src/load/decisionBench.ts
@@ -38,19 +38,19 @@
     clock,
     random,
     hall: 'h0',
-    directory: { listRole: () => upstreams, getView: upstream => viewUpstream(upstream, facts), countLiveGates: () => LIVE_GATES },
+    directory: { listByRole: () => upstreams, getView: upstream => viewUpstream(upstream, facts), countLiveGates: () => LIVE_GATES },
     router: new EstimatedFinishRouter({ random }),
     createQueue: () => new FairQueue(),
     createLimiter: () => new AdaptiveLimiter(),
     createHealth: () => new EjectingTracker(),
-    dropsHopeless: true
+    dropsInfeasible: true
   })
   const admission = new PredictedFinishAdmission()
   const committed = new CommittedWork(clock)
   const open: StageSlot[] = []
   const decide = (index: number) => {
-    admission.decide({ customer: 'c', customerWeight: 1, timeLeftMs: 4000, priority: 1, stages: [{ role: 'generate', usualMs: scheduler.latencies.getUsual('p/generate'), slots: scheduler.countSlots('generate') }] }, committed)
-    scheduler.acquire({ requestId: '', customer: 'c', customerWeight: 1, priority: 1, deadlineAt: clock.now() + 4000, role: 'generate', stageKey: 'p/generate', model: 'm', prefixKey: `k${index % PREFIXES}`, tried: new Set() }, { onGranted: slot => open.push(slot), onRefused: () => {} })
+    admission.decide({ customer: 'c', customerWeight: 1, timeLeftMs: 4000, priority: 1, stages: [{ role: 'generate', usualMs: scheduler.latencies.getMeanMs('p/generate'), slots: scheduler.countSlots('generate') }] }, committed)
+    scheduler.acquire({ requestId: '', customer: 'c', customerWeight: 1, priority: 1, deadlineAt: clock.now() + 4000, role: 'generate', stageKey: 'p/generate', model: 'm', prefixKey: `k${index % PREFIXES}`, triedUpstreams: new Set() }, { onGranted: slot => open.push(slot), onRefused: () => {} })
   }
   const times = build({ highestTrackableValue: 1e9 })
   for (let index = 0; index < WARM_UP + DECISIONS; index++) {
--- a/src/services/admission/common/committedWork.ts
+++ b/src/services/admission/common/committedWork.ts
@@ -83,7 +83,7 @@
   }
 
   /** Number of admitted requests that have yet to finish the role. */
-  countRole (role: string): number {
+  countForRole (role: string): number {
     let count = 0
     for (const work of this._workByRole.get(role)?.values() ?? []) count += work.count
     return count
--- a/src/services/admission/test/admissionPolicy.test.ts
+++ b/src/services/admission/test/admissionPolicy.test.ts
@@ -53,7 +53,7 @@
   const committed = createWork({ small: 6 })
   for (let index = 0; index < 6; index++) committed.remove('generate', 'small', 1)
   committed.remove('generate', 'small', 1)
-  assert.is(committed.countRole('generate'), 0)
+  assert.is(committed.countForRole('generate'), 0)
   assert.is(committed.countAhead('generate', 'small', 1, 1), 0)
 })
 
--- a/src/services/locate/common/hallRegions.ts
+++ b/src/services/locate/common/hallRegions.ts
@@ -22,7 +22,7 @@
   }
 
   /** Returns those of the given regions that have no hall. */
-  listUnknown (regions: readonly string[]): readonly string[] {
+  listUnknownRegions (regions: readonly string[]): readonly string[] {
     const knownRegions = new Set(this._regionsByHall.values())
     return regions.filter(region => !knownRegions.has(region))
   }
--- a/src/services/locate/common/nodeDirectory.ts
+++ b/src/services/locate/common/nodeDirectory.ts
@@ -11,7 +11,7 @@
   /** Hall of the caller. */
   readonly hall: string
   /** Address of the answering node; undefined if it does not accept requests. */
-  readonly own: string | undefined
+  readonly ownAddress: string | undefined
   readonly ownHall?: string
   readonly maxKeepMs: number
   /** Whether callers should be directed to nodes in the hall; omitted if all halls are allowed. */
@@ -19,7 +19,7 @@
 }
 
 /** Location of a caller, and the host whose routes it uses. */
-export interface CallerPlace {
+export interface CallerLocation {
   readonly host: string
   readonly hall: string
   readonly region: string
@@ -39,7 +39,7 @@
  * its own state instead of a report.
  */
 export function listNodeAddresses (inputs: NodeDirectoryInputs): AddressAnswer {
-  const { gates, members, own, ownHall = '', maxKeepMs, isHome = () => true } = inputs
+  const { gates, members, ownAddress: own, ownHall = '', maxKeepMs, isHome = () => true } = inputs
   const aliveHosts = new Set(members.filter(member => member.state === 'alive').map(member => getHost(member.address)))
   const usable = gates
     .filter(gate => gate.address !== own && gate.ready && !gate.draining && aliveHosts.has(getHost(gate.address)))
--- a/src/services/locate/test/nodeDirectory.test.ts
+++ b/src/services/locate/test/nodeDirectory.test.ts
@@ -16,7 +16,7 @@
 
 const gates = [createGate('10.0.0.1'), createGate('10.0.0.2'), createGate('10.0.0.3')]
 const members = [createMember('10.0.0.1'), createMember('10.0.0.2'), createMember('10.0.0.3')]
-const inputs = { gates, members, hall: 'h', own: '10.0.0.1:80', maxKeepMs: 5000 }
+const inputs = { gates, members, hall: 'h', ownAddress: '10.0.0.1:80', maxKeepMs: 5000 }
 
 test('all nodes that accept requests are listed, the answering one first', () => {
   assert.equal(listNodeAddresses(inputs).addresses, ['10.0.0.1:80', '10.0.0.2:80', '10.0.0.3:80'])
@@ -51,7 +51,7 @@
 })
 
 test('a node that does not accept requests lists only the others', () => {
-  assert.equal(listNodeAddresses({ ...inputs, own: undefined, gates: [createGate('10.0.0.1', { ready: false }), ...gates.slice(1)] }).addresses, ['10.0.0.2:80', '10.0.0.3:80'])
+  assert.equal(listNodeAddresses({ ...inputs, ownAddress: undefined, gates: [createGate('10.0.0.1', { ready: false }), ...gates.slice(1)] }).addresses, ['10.0.0.2:80', '10.0.0.3:80'])
 })
 
 test.run()
--- a/src/services/order/node/orderService.ts
+++ b/src/services/order/node/orderService.ts
@@ -25,9 +25,9 @@
   readonly decisions: DecisionLog
   readonly log: ILogService
   /** Upstreams that this process currently manages. */
-  readonly listOrdered: () => readonly Upstream[]
+  readonly listManagedUpstreams: () => readonly Upstream[]
   /** Whether this process currently receives from a majority of the stewards it knows. */
-  readonly hearsMajority: () => boolean
+  readonly hasMajority: () => boolean
   readonly periodMs?: number
 }
 
@@ -51,7 +51,7 @@
     const engines = current.configuration.upstreams.filter(upstream => upstream.kind === UpstreamKind.ENGINE)
     const views = engines.map(upstream => viewUpstream(upstream, this._options.facts))
     const plan = planModels(current.configuration.placements, views.map(view => ({ ...view.upstream, isLeaving: view.isLeaving })))
-    for (const upstream of this._options.listOrdered()) {
+    for (const upstream of this._options.listManagedUpstreams()) {
       const models = plan.get(upstream.name)
       if (models === undefined || this._pendingUpstreams.has(upstream.name)) continue
       const loadedModels = viewUpstream(upstream, this._options.facts).load?.models
@@ -81,7 +81,7 @@
    */
   private async _sendOrder (upstream: Upstream, models: readonly string[], current: AcceptedConfiguration): Promise<void> {
     const { adapter, facts, configuration, decisions, log } = this._options
-    if (!upstream.checksFencing && !this._options.hearsMajority()) return
+    if (!upstream.checksFencing && !this._options.hasMajority()) return
     const report = (await adapter.readReport(upstream)).toMaybe().extractNullable()
     if (report === null) return
     recordReport(facts, upstream.name, report, this._options.clock.now())
--- a/src/services/order/test/orderService.test.ts
+++ b/src/services/order/test/orderService.test.ts
@@ -79,8 +79,8 @@
       configuration: { get current () { return findCurrent() } } as IConfigurationService,
       decisions: new DecisionLog(clock, 10),
       log: new LogService({ program: 'test', silent: true }),
-      listOrdered: () => this.current.configuration.upstreams,
-      hearsMajority: () => this.hasMajority
+      listManagedUpstreams: () => this.current.configuration.upstreams,
+      hasMajority: () => this.hasMajority
     })
   }
 
--- a/src/services/pipeline/node/stageRunner.ts
+++ b/src/services/pipeline/node/stageRunner.ts
@@ -68,7 +68,7 @@
 
   /** Returns the average latency of the stage over all requests. */
   getTypicalLatencyMs (stageKey: string): number {
-    return this._options.scheduler.latencies.getUsual(stageKey)
+    return this._options.scheduler.latencies.getMeanMs(stageKey)
   }
 
   /** Returns the whole result of the stage. */
@@ -102,7 +102,7 @@
       stageKey: formatStageKey(plan.pipeline, stage),
       model: stage.model,
       prefixKey: plan.prefixKey,
-      tried: progress.triedUpstreams
+      triedUpstreams: progress.triedUpstreams
     }
   }
 
@@ -161,7 +161,7 @@
     const { plan, stage, run } = job
     const isUnrepeatable = isStageUnrepeatable(plan, stage)
     const timeLeftMs = Math.max(1, Math.round(plan.deadlineAt - clock.now()))
-    const highLatencyMs = scheduler.latencies.getHigh(formatStageKey(plan.pipeline, stage))
+    const highLatencyMs = scheduler.latencies.getHighMs(formatStageKey(plan.pipeline, stage))
     const offset = slot.view.upstream.kind === UpstreamKind.ENGINE ? progress.receivedTexts.length : 0
     return runAttempt({ clock, adapter }, {
       upstream: slot.view.upstream,
--- a/src/services/pipeline/test/fakes.ts
+++ b/src/services/pipeline/test/fakes.ts
@@ -115,7 +115,7 @@
     random: new SeededRandom(2),
     hall: 'h',
     directory: {
-      listRole: role => upstreams.filter(upstream => upstream.role === role),
+      listByRole: role => upstreams.filter(upstream => upstream.role === role),
       getView: upstream => viewUpstream(upstream, facts),
       countLiveGates: () => 1
     },
@@ -123,7 +123,7 @@
     createQueue: () => new FairQueue(),
     createLimiter: () => new AdaptiveLimiter(),
     createHealth: () => new EjectingTracker(),
-    dropsHopeless: true
+    dropsInfeasible: true
   })
   const decisions = new DecisionLog(clock, 200)
   const leaving: string[] = []
--- a/src/services/relay/test/homeRegions.test.ts
+++ b/src/services/relay/test/homeRegions.test.ts
@@ -61,7 +61,7 @@
   assert.equal(regions.listHomeHalls(['west']), [])
   assert.equal(regions.listHomeHalls(['west', 'north']), ['a'])
   assert.is(regions.listHomeHalls([], []), undefined)
-  assert.equal(regions.listUnknown(['west', 'north']), ['west'])
+  assert.equal(regions.listUnknownRegions(['west', 'north']), ['west'])
 })
 
 test.run()
--- a/src/services/routing/test/router.test.ts
+++ b/src/services/routing/test/router.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert'
 import { SeededRandom } from '../../../base/common/random.ts'
 import type { Candidate, RoutingRequest } from '../common/candidate.ts'
-import { PrefixCacheTracker } from '../common/prefixBelief.ts'
+import { PrefixCacheTracker } from '../common/prefixCacheTracker.ts'
 import { EstimatedFinishRouter, LeastReportedRouter, RoundRobinRouter } from '../common/router.ts'
 
 const test = suite('router')
--- a/src/services/scheduling/common/latencyBook.ts
+++ b/src/services/scheduling/common/latencyTracker.ts
@@ -45,7 +45,7 @@
   }
 
   /** Mean duration of the calls of a stage key, in milliseconds; 20 before the first one. */
-  getUsual (stageKey: string): number {
+  getMeanMs (stageKey: string): number {
     return this._estimates.get(stageKey)?.meanMs ?? DEFAULT_MEAN_MS
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** A duration that nearly all calls of a stage key stay under, in milliseconds: the mean plus three mean absolute deviations. */
-  getHigh (stageKey: string): number {
+  getHighMs (stageKey: string): number {
     const estimate = this._estimates.get(stageKey)
     return estimate === undefined ? DEFAULT_MEAN_MS : estimate.meanMs + 3 * estimate.deviationMs
   }
--- a/src/services/scheduling/common/stageQueue.ts
+++ b/src/services/scheduling/common/stageQueue.ts
@@ -18,7 +18,7 @@
   readonly model: string
   readonly prefixKey: string
   /** Names of the upstreams at which an attempt at this stage has already failed. */
-  readonly tried: ReadonlySet<string>
+  readonly triedUpstreams: ReadonlySet<string>
 }
 
 export abstract class StageQueue {
--- a/src/services/scheduling/common/upstreamDirectory.ts
+++ b/src/services/scheduling/common/upstreamDirectory.ts
@@ -10,7 +10,7 @@
 
 export interface IUpstreamDirectory {
   /** Upstreams of a role in the configuration in force. */
-  listRole (role: string): readonly Upstream[]
+  listByRole (role: string): readonly Upstream[]
   /** Returns the upstream together with the latest facts about it. */
   getView (upstream: Upstream): UpstreamView
   /** Number of gates that share the upstreams, including this one. */
@@ -35,7 +35,7 @@
     private readonly _facts: FactStore
   ) {}
 
-  listRole (role: string): readonly Upstream[] {
+  listByRole (role: string): readonly Upstream[] {
     const current = this._configuration.current
     if (current !== this._groupedConfiguration) {
       this._groupedConfiguration = current
--- a/src/services/scheduling/common/upstreamPool.ts
+++ b/src/services/scheduling/common/upstreamPool.ts
@@ -10,8 +10,8 @@
 import type { ConcurrencyLimiter } from '../../limits/common/concurrencyLimiter.ts'
 import type { Candidate } from '../../routing/common/candidate.ts'
 import { findPreferred } from '../../routing/common/preferredUpstreams.ts'
-import type { PrefixCacheTracker } from '../../routing/common/prefixBelief.ts'
-import type { LatencyTracker } from './latencyBook.ts'
+import type { PrefixCacheTracker } from '../../routing/common/prefixCacheTracker.ts'
+import type { LatencyTracker } from './latencyTracker.ts'
 import type { StageTicket } from './stageQueue.ts'
 import type { IUpstreamDirectory } from './upstreamDirectory.ts'
 import { getCapacity, UpstreamState } from './upstreamState.ts'
@@ -67,14 +67,14 @@
   }
 
   findFree (ticket: StageTicket): FreeUpstreams {
-    const upstreams = this._options.directory.listRole(ticket.role)
+    const upstreams = this._options.directory.listByRole(ticket.role)
     if (upstreams.length > MAX_FULL_SCAN) {
       const sampled = this._sample(ticket, upstreams)
       if (sampled.length > 0) return { kind: 'free', views: sampled }
     }
     const usable = this._listUsable(upstreams).filter(view => hasModel(view, ticket.model))
     if (usable.length === 0) return { kind: 'none' }
-    const untried = usable.filter(view => !ticket.tried.has(view.upstream.name))
+    const untried = usable.filter(view => !ticket.triedUpstreams.has(view.upstream.name))
     const candidates = untried.length > 0 ? untried : usable
     const free = candidates.filter(view => this._hasFreeSlot(view, this._hasElevatedPriority(ticket)))
     if (free.length > 0) return { kind: 'free', views: free }
@@ -86,7 +86,7 @@
     const now = this._options.clock.now()
     const cached = this._slotCounts.get(role)
     if (cached !== undefined && now - cached.countedAt < SLOT_COUNT_CACHE_MS) return cached.slots
-    const slots = this._listUsable(this._options.directory.listRole(role)).reduce((sum, view) => sum + this._computeShare(view), 0)
+    const slots = this._listUsable(this._options.directory.listByRole(role)).reduce((sum, view) => sum + this._computeShare(view), 0)
     this._slotCounts.set(role, { slots, countedAt: now })
     return slots
   }
@@ -126,7 +126,7 @@
     }
     const views: UpstreamView[] = []
     for (const upstream of selected) {
-      if (ticket.tried.has(upstream.name)) continue
+      if (ticket.triedUpstreams.has(upstream.name)) continue
       const view = this._options.directory.getView(upstream)
       if (!view.isLeaving && !this._isEjected(view) && hasModel(view, ticket.model) && this._hasFreeSlot(view, this._hasElevatedPriority(ticket))) views.push(view)
     }
--- a/src/services/scheduling/common/upstreamScheduler.ts
+++ b/src/services/scheduling/common/upstreamScheduler.ts
@@ -8,9 +8,9 @@
 import type { HealthTracker } from '../../health/common/healthTracker.ts'
 import type { ConcurrencyLimiter, LimitSignal } from '../../limits/common/concurrencyLimiter.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
-import { PrefixCacheTracker } from '../../routing/common/prefixBelief.ts'
+import { PrefixCacheTracker } from '../../routing/common/prefixCacheTracker.ts'
 import type { Router } from '../../routing/common/router.ts'
-import { LatencyTracker } from './latencyBook.ts'
+import { LatencyTracker } from './latencyTracker.ts'
 import type { StageQueue, StageTicket } from './stageQueue.ts'
 import type { IUpstreamDirectory } from './upstreamDirectory.ts'
 import { UpstreamPool } from './upstreamPool.ts'
@@ -47,7 +47,7 @@
   readonly createLimiter: () => ConcurrencyLimiter
   readonly createHealth: () => HealthTracker
   /** Whether queued stages are refused once they cannot finish before their deadline. */
-  readonly dropsHopeless: boolean
+  readonly dropsInfeasible: boolean
 }
 
 interface RoleQueue {
@@ -135,10 +135,10 @@
 
   private _dispatch (roleName: string): void {
     const role = this._getRole(roleName)
-    if (this._options.dropsHopeless) this._dropInfeasible(role)
+    if (this._options.dropsInfeasible) this._dropInfeasible(role)
     const blockedModels = new Set<string>()
     for (const ticket of role.queue.list()) {
-      if (blockedModels.has(ticket.model) && ticket.tried.size === 0) continue
+      if (blockedModels.has(ticket.model) && ticket.triedUpstreams.size === 0) continue
       const outcome = this._tryAssign(ticket)
       if (outcome === 'wait') blockedModels.add(ticket.model)
       else this._resolveTicket(role, ticket, outcome)
@@ -150,7 +150,7 @@
     role.queue.remove(ticket)
     role.listeners.delete(ticket)
     if (outcome instanceof PepperwoodError) return listener?.onRefused(outcome)
-    role.queue.recordServed(ticket, Math.max(MIN_SERVED_COST_MS, this.latencies.getUsual(ticket.stageKey)))
+    role.queue.recordServed(ticket, Math.max(MIN_SERVED_COST_MS, this.latencies.getMeanMs(ticket.stageKey)))
     this._pool.getState(outcome.view.upstream.name).start(outcome, outcome.startedAt)
     listener?.onGranted(outcome)
   }
@@ -162,7 +162,7 @@
       return new PepperwoodError({ name: 'upstreamNoneLeft', message: 'no upstream can run the stage', place: ticket.stageKey, value: ticket.role })
     }
     if (found.kind === 'full') return 'wait'
-    const request = { prefixKey: ticket.prefixKey, hall, expectedMs: this.latencies.getUsual(ticket.stageKey), liveGateCount: directory.countLiveGates() }
+    const request = { prefixKey: ticket.prefixKey, hall, expectedMs: this.latencies.getMeanMs(ticket.stageKey), liveGateCount: directory.countLiveGates() }
     const choice = router.choose(request, found.views.map(view => this._pool.createCandidate(view, ticket)))
     const view = found.views.find(item => item.upstream.name === choice?.candidate.name)
     if (view === undefined || choice === undefined) return 'wait'
--- a/src/services/scheduling/test/upstreamScheduler.test.ts
+++ b/src/services/scheduling/test/upstreamScheduler.test.ts
@@ -25,17 +25,17 @@
     clock,
     random: new SeededRandom(4),
     hall: 'h',
-    directory: { listRole: () => upstreams, getView: upstream => viewUpstream(upstream, facts), countLiveGates: () => 1 },
+    directory: { listByRole: () => upstreams, getView: upstream => viewUpstream(upstream, facts), countLiveGates: () => 1 },
     router: new EstimatedFinishRouter({ random: new SeededRandom(3) }),
     createQueue: queue,
     createLimiter: () => new FixedLimiter(),
     createHealth: () => new EjectingTracker(),
-    dropsHopeless: true
+    dropsInfeasible: true
   })
   const granted: StageSlot[] = []
   const refused: string[] = []
   const ask = (options: Partial<StageTicket> = {}) => {
-    const ticket: StageTicket = { requestId: 'q', customer: 'c', customerWeight: 1, priority: 1, deadlineAt: 10_000, role: 'r', stageKey: 'p/r', model: '', prefixKey: 'k', tried: new Set(), ...options }
+    const ticket: StageTicket = { requestId: 'q', customer: 'c', customerWeight: 1, priority: 1, deadlineAt: 10_000, role: 'r', stageKey: 'p/r', model: '', prefixKey: 'k', triedUpstreams: new Set(), ...options }
     scheduler.acquire(ticket, { onGranted: slot => granted.push(slot), onRefused: error => refused.push(error.resultName) })
     return ticket
   }
--- a/src/steward/steward.ts
+++ b/src/steward/steward.ts
@@ -153,10 +153,10 @@
       configuration: this._member.configuration,
       decisions: this._decisions,
       log,
-      listOrdered: () => this._member.isReady && !this._isDraining
+      listManagedUpstreams: () => this._member.isReady && !this._isDraining
         ? listDuties((upstream, live) => isOrderIssuer(upstream.hall, settings.address, live))
         : [],
-      hearsMajority: () => this._hearsMajority()
+      hasMajority: () => this._hearsMajority()
     }))
   }
 
