--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -31,7 +31,7 @@
 import { UpstreamDirectory } from '../services/scheduling/common/upstreamDirectory.ts'
 import { UpstreamScheduler } from '../services/scheduling/common/upstreamScheduler.ts'
 import { SessionService } from '../services/session/common/sessionService.ts'
-import { CheckpointSeal } from '../services/session/node/checkpointSeal.ts'
+import { CheckpointSigner } from '../services/session/node/checkpointSigner.ts'
 import { HttpUpstreamAdapter } from '../services/upstream/node/httpUpstreamAdapter.ts'
 import { markLeaving } from '../services/upstream/node/upstreamWatcher.ts'
 import { GateMetrics } from './gateMetrics.ts'
@@ -106,7 +106,7 @@
       createId: () => createRandomId(SESSION_ID_BYTES),
       lifetimeMs: settings.session_lifetime_ms,
       maxSessions: settings.max_sessions,
-      maxKeptSize: settings.kept_answers_mb * 1024 * 1024
+      maxRetainedSize: settings.kept_answers_mb * 1024 * 1024
     })
     this._scheduler = this._createScheduler()
     this._metrics = new GateMetrics({ sessions: this._sessions, facts: this._facts, pause: this._pause })
@@ -198,16 +198,16 @@
     const policy = settings.policy
     const adapter = this._register(new HttpUpstreamAdapter({ localAddress: settings.local_ip }))
     const committed = new CommittedWork(clock)
-    const seal = new CheckpointSeal({ key: settings.checkpoint_key, previousKey: settings.previous_checkpoint_key })
+    const seal = new CheckpointSigner({ key: settings.checkpoint_key, previousKey: settings.previous_checkpoint_key })
     const stages = new StageRunner({
       clock,
       adapter,
       scheduler: this._scheduler,
       retries: createRetries(policy),
       decisions: this._decisions,
-      maySend: () => !this._pause.isStale,
-      waitUntilMaySend: () => this._waitUntilMaySend(),
-      onDidSeeLeaving: (upstream, incarnation) => {
+      canSend: () => !this._pause.isStale,
+      waitUntilCanSend: () => this._waitUntilMaySend(),
+      onDidReportLeaving: (upstream, incarnation) => {
         markLeaving(this._facts, upstream, incarnation, 'refused a gate')
         this._subscription.pushNow()
       },
@@ -223,7 +223,7 @@
       admission: createAdmission(policy),
       committed,
       seal,
-      runner: new RequestRunner({ clock, stages, committed, seal, decisions: this._decisions, chunkIntervalMs: settings.chunk_interval_ms }),
+      runner: new RequestRunner({ clock, stages, committed, checkpointSigner: seal, decisions: this._decisions, chunkIntervalMs: settings.chunk_interval_ms }),
       decisions: this._decisions,
       isReady: () => this.isReady,
       isDraining: () => this._isDraining,
@@ -345,8 +345,8 @@
       sessions: this._sessions.sessions.map(session => ({
         customer: session.customer,
         expiresInMs: Math.round(session.expiresAt - now),
-        intervals: session.seen.intervalCount,
-        running: [...session.runs.values()].filter(run => run.end === undefined).length,
+        intervals: session.seenRequestNumbers.intervalCount,
+        running: [...session.runs.values()].filter(run => run.outcome === undefined).length,
         kept: session.runs.size
       })),
       facts: this._facts.list().map(fact => ({ ...fact, observedAt: undefined, ageMs: Math.round(now - fact.observedAt) })),
@@ -356,7 +356,7 @@
 
   explain (requestId: string) {
     const [sessionId = '', number = ''] = requestId.split('/')
-    const end = this._sessions.findRun(sessionId, Number(number)).toMaybe().extractNullable()?.end
+    const end = this._sessions.findRun(sessionId, Number(number)).toMaybe().extractNullable()?.outcome
     return { decisions: this._decisions.find(requestId), costs: end?.costs ?? [] }
   }
 
--- a/src/gate/gateMetrics.ts
+++ b/src/gate/gateMetrics.ts
@@ -34,7 +34,7 @@
   }
 
   recordEnd (pipeline: string, run: RequestRun, now: number): void {
-    const { end, customer } = run
+    const { outcome: end, customer } = run
     if (end === undefined) return
     const result = end.kind === 'whole' ? 'whole' : end.error.resultName
     // A pipeline that no one configured must not make a label of its own.
--- a/src/gate/gateRequests.ts
+++ b/src/gate/gateRequests.ts
@@ -21,7 +21,7 @@
 import type { UpstreamScheduler } from '../services/scheduling/common/upstreamScheduler.ts'
 import type { RequestRun } from '../services/session/common/requestRun.ts'
 import type { ISessionService } from '../services/session/common/sessionService.ts'
-import type { CheckpointSeal } from '../services/session/node/checkpointSeal.ts'
+import type { CheckpointSigner } from '../services/session/node/checkpointSigner.ts'
 import { checkKey, checkPromise, checkSubmission, createError, digestContent } from './requestChecks.ts'
 
 /** An answer to a caller whose request has no run here. */
@@ -51,7 +51,7 @@
   readonly scheduler: UpstreamScheduler
   readonly admission: AdmissionPolicy
   readonly committed: CommittedWork
-  readonly seal: CheckpointSeal
+  readonly seal: CheckpointSigner
   readonly runner: IRequestRunner
   readonly decisions: DecisionLog
   readonly isReady: () => boolean
@@ -131,7 +131,7 @@
     const admitted = unavailable === undefined ? this._admit(request, run) : Left(this._refuse(unavailable, run.customer))
     if (admitted.isRight()) await this._options.runner.run(admitted.extract(), run)
     else admitted.ifLeft(refused => run.finish({ kind: 'refused', ...refused, execution: 'notRun', costs: [] }))
-    this._options.sessions.keep(run)
+    this._options.sessions.retain(run)
     this._options.onDidEnd(request.pipeline, run)
   }
 
--- a/src/gate/requestChecks.ts
+++ b/src/gate/requestChecks.ts
@@ -11,7 +11,7 @@
 import type { ResultName } from '../services/result/common/resultCodes.ts'
 import type { RequestRun } from '../services/session/common/requestRun.ts'
 import type { Session } from '../services/session/common/sessionService.ts'
-import type { CheckpointContent, CheckpointSeal } from '../services/session/node/checkpointSeal.ts'
+import type { CheckpointContent, CheckpointSigner } from '../services/session/node/checkpointSigner.ts'
 
 /** What was found for a request that may be considered. */
 export interface CheckedSubmission {
@@ -41,7 +41,7 @@
   return Right(customer)
 }
 
-export function checkSubmission (request: SubmitRequest, run: RequestRun, accepted: AcceptedConfiguration | undefined, seal: CheckpointSeal): Either<PepperwoodError, CheckedSubmission> {
+export function checkSubmission (request: SubmitRequest, run: RequestRun, accepted: AcceptedConfiguration | undefined, seal: CheckpointSigner): Either<PepperwoodError, CheckedSubmission> {
   if (accepted === undefined) return Left(createError('gateNotReady', 'no configuration yet', '', ''))
   if (request.input.length > MAX_INPUT_LENGTH) return Left(createError('requestTooLarge', `expected at most ${MAX_INPUT_LENGTH} characters`, 'input', String(request.input.length)))
   const customer = accepted.configuration.customers.find(item => item.name === run.customer)
@@ -64,12 +64,12 @@
   return Left(createError('sessionOutdated', 'the pipeline must not be submitted anew any more: open a new session', 'pipeline', pipeline.name))
 }
 
-function openCheckpoint (request: SubmitRequest, run: RequestRun, pipeline: Pipeline, seal: CheckpointSeal): Either<PepperwoodError, CheckpointContent | undefined> {
+function openCheckpoint (request: SubmitRequest, run: RequestRun, pipeline: Pipeline, seal: CheckpointSigner): Either<PepperwoodError, CheckpointContent | undefined> {
   if (request.checkpoint.length === 0) return Right(undefined)
   if (request.unrepeatable || pipeline.stages.some(stage => stage.unrepeatable)) {
     return Left(createError('checkpointInvalid', 'a checkpoint continues repeatable work only', 'checkpoint', ''))
   }
-  return seal.open(request.checkpoint, {
+  return seal.verify(request.checkpoint, {
     customer: run.customer,
     pipeline: pipeline.name,
     stages: pipeline.stages.map(stage => stage.name),
--- a/src/gate/requestHandlers.ts
+++ b/src/gate/requestHandlers.ts
@@ -9,11 +9,11 @@
 import type { AnswerEvent, RequestService, Refusal } from '../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { PepperwoodError } from '../services/result/common/pepperwoodError.ts'
 import type { ConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
-import type { ExecutionClaim } from '../services/session/common/attemptLog.ts'
-import type { RequestRun, RunEnd } from '../services/session/common/requestRun.ts'
+import type { ExecutionState } from '../services/session/common/attemptLog.ts'
+import type { RequestRun, RunOutcome } from '../services/session/common/requestRun.ts'
 import type { GateRequests, RefusedRequest } from './gateRequests.ts'
 
-const EXECUTIONS: Readonly<Record<ExecutionClaim, Execution>> = {
+const EXECUTIONS: Readonly<Record<ExecutionState, Execution>> = {
   notRun: Execution.NOT_RUN,
   mayHaveRun: Execution.MAY_HAVE_RUN,
   incomplete: Execution.INCOMPLETE
@@ -47,7 +47,7 @@
   })
 }
 
-export function createEndEvent (run: RequestRun, end: RunEnd): AnswerEvent {
+export function createEndEvent (run: RequestRun, end: RunOutcome): AnswerEvent {
   if (end.kind === 'whole') {
     return createEvent({ case: 'end', value: { chunkCount: run.chunks.length, digest: end.digest, costs: [...end.costs] } })
   }
@@ -80,18 +80,18 @@
     while (!signal.aborted) {
       const changed = new Promise<void>(resolve => { wake = resolve })
       const checkpoint = run.checkpoint
-      if (checkpoint !== undefined && checkpoint.stagesDone > checkpointSent && run.end === undefined) {
+      if (checkpoint !== undefined && checkpoint.stagesDone > checkpointSent && run.outcome === undefined) {
         checkpointSent = checkpoint.stagesDone
         yield createEvent({ case: 'checkpoint', value: { sealed: checkpoint.sealed, stagesDone: checkpoint.stagesDone } })
       }
       for (; index < run.chunks.length; index++) {
         yield createEvent({ case: 'chunk', value: { index, text: run.chunks[index] ?? '' } })
       }
-      if (run.end !== undefined && index >= run.chunks.length) {
-        yield createEndEvent(run, run.end)
+      if (run.outcome !== undefined && index >= run.chunks.length) {
+        yield createEndEvent(run, run.outcome)
         return
       }
-      if (run.end === undefined) await changed
+      if (run.outcome === undefined) await changed
     }
   } finally {
     subscription.dispose()
@@ -119,8 +119,8 @@
     cancel (request) {
       return requests.findRun(request)
         .map(run => {
-          const wasRunning = run.end === undefined
-          run.abort.abort()
+          const wasRunning = run.outcome === undefined
+          run.abortController.abort()
           return create(CancelResponseSchema, { outcome: { case: 'cancelled', value: { wasRunning } } })
         })
         .mapLeft(refused => create(CancelResponseSchema, { outcome: { case: 'refusal', value: createRefusal(refused) } }))
--- a/src/gate/test/atMostOnce.test.ts
+++ b/src/gate/test/atMostOnce.test.ts
@@ -18,7 +18,7 @@
 import type { Harness, ScriptedCall } from '../../services/pipeline/test/fakes.ts'
 import type { RequestRun } from '../../services/session/common/requestRun.ts'
 import { SessionService } from '../../services/session/common/sessionService.ts'
-import { CheckpointSeal } from '../../services/session/node/checkpointSeal.ts'
+import { CheckpointSigner } from '../../services/session/node/checkpointSigner.ts'
 import { GateRequests } from '../gateRequests.ts'
 import { createRefusal, createEndEvent } from '../requestHandlers.ts'
 
@@ -54,7 +54,7 @@
   isDraining = false
 
   constructor (harness: Harness, readonly address: string, readonly incarnation: string, createId: () => string) {
-    this.sessions = new SessionService({ clock: harness.clock, createId, maxKeptSize: 64 })
+    this.sessions = new SessionService({ clock: harness.clock, createId, maxRetainedSize: 64 })
     const configuration = { current: accepted, number: accepted.number } as IConfigurationService
     this.requests = new GateRequests({
       clock: harness.clock,
@@ -65,7 +65,7 @@
       scheduler: harness.scheduler,
       admission: new AdmitAll(),
       committed: harness.committed,
-      seal: new CheckpointSeal({ key: 'a key for tests only' }),
+      seal: new CheckpointSigner({ key: 'a key for tests only' }),
       runner: { run: async (plan, run) => { this.runs.push(run); await harness.runner.run(plan, run) } },
       decisions: harness.decisions,
       isReady: () => true,
@@ -79,7 +79,7 @@
 
   /** The process is gone: nothing of it goes on. */
   die (): void {
-    for (const run of this.runs) run.abort.abort()
+    for (const run of this.runs) run.abortController.abort()
   }
 }
 
@@ -151,7 +151,7 @@
     const request = this._requests[step.at % Math.max(1, this._requests.length)]
     const gate = this._gates[step.at % 2]
     if (step.kind === 'advance') this._harness.clock.advance(step.at)
-    else if (step.kind === 'pause') this._harness.pause.maySend = false
+    else if (step.kind === 'pause') this._harness.pause.canSend = false
     else if (step.kind === 'restart' && gate !== undefined) this._replace(gate)
     else if (step.kind === 'drain' && gate !== undefined) gate.isDraining = true
     else if (step.kind === 'submit' && gate !== undefined) this._submitNew(gate)
@@ -161,7 +161,7 @@
   private _applyTo (step: Command, request: CallerRequest): void {
     if (step.kind === 'copy') this._deliver(request, request.submissions.at(step.at % request.submissions.length))
     else if (step.kind === 'retry') this._tryAgain(request)
-    else if (step.kind === 'cancel') this._findRun(request.submissions.at(-1))?.abort.abort()
+    else if (step.kind === 'cancel') this._findRun(request.submissions.at(-1))?.abortController.abort()
   }
 
   private _submitNew (gate: GateLife): void {
@@ -218,8 +218,8 @@
 
   private _readClaim (submission: SubmitRequest | undefined) {
     const run = this._findRun(submission)
-    if (run?.end === undefined || run.end.kind === 'whole') return undefined
-    const { event } = createEndEvent(run, run.end)
+    if (run?.outcome === undefined || run.outcome.kind === 'whole') return undefined
+    const { event } = createEndEvent(run, run.outcome)
     return event.case === 'refusal' ? readRefusal(event.value) : undefined
   }
 
--- a/src/services/facts/common/wireMessage.ts
+++ b/src/services/facts/common/wireMessage.ts
@@ -4,7 +4,7 @@
 import { Schema } from 'effect'
 import type { Either } from 'purify-ts'
 import type { PepperwoodError } from '../../result/common/pepperwoodError.ts'
-import { createMessageCheck, listKinds, readKind } from '../../rpc/common/messageCheck.ts'
+import { createMessageValidator, listKinds, readKind } from '../../rpc/common/messageValidator.ts'
 
 const Count = Schema.Number.pipe(Schema.int(), Schema.nonNegative())
 const Name = Schema.String.pipe(Schema.maxLength(256))
@@ -102,7 +102,7 @@
 
 export type WireMessage = typeof WireMessageSchema.Type
 
-const checkKnownKinds = createMessageCheck(WireMessageSchema, listKinds(WireMessageSchema.members))
+const checkKnownKinds = createMessageValidator(WireMessageSchema, listKinds(WireMessageSchema.members))
 const FACT_KINDS = listKinds(FactValueSchema.members)
 
 /** Validates a decoded frame. Facts of kinds that only newer versions know are left out; the other facts remain valid. */
--- a/src/services/pipeline/node/requestRunner.ts
+++ b/src/services/pipeline/node/requestRunner.ts
@@ -13,8 +13,8 @@
 import { PepperwoodError, toPepperwoodError } from '../../result/common/pepperwoodError.ts'
 import { deriveExecutionState } from '../../session/common/attemptLog.ts'
 import type { Attempt } from '../../session/common/attemptLog.ts'
-import type { RequestRun, RunEnd } from '../../session/common/requestRun.ts'
-import type { CheckpointSeal } from '../../session/node/checkpointSeal.ts'
+import type { RequestRun, RunOutcome } from '../../session/common/requestRun.ts'
+import type { CheckpointSigner } from '../../session/node/checkpointSigner.ts'
 import { ChunkBuffer } from '../common/chunkBuffer.ts'
 import { formatStageKey, isStageUnrepeatable } from '../common/requestPlan.ts'
 import type { RequestPlan } from '../common/requestPlan.ts'
@@ -25,7 +25,7 @@
   readonly clock: IClock
   readonly stages: StageRunner
   readonly committed: CommittedWork
-  readonly seal: CheckpointSeal
+  readonly checkpointSigner: CheckpointSigner
   readonly decisions: DecisionLog
   /** Text received within this time after the last chunk is collected into one chunk. */
   readonly chunkIntervalMs?: number
@@ -49,7 +49,7 @@
       }),
       Effect.withClock(createEffectClock(this._options.clock))
     )
-    const exit = await Effect.runPromiseExit(program, { signal: run.abort.signal })
+    const exit = await Effect.runPromiseExit(program, { signal: run.abortController.signal })
     for (const role of unfinishedRoles) this._options.committed.remove(role, plan.customer, plan.pipeline.priority)
     this._finishRun(run, exit)
   }
@@ -91,7 +91,7 @@
   private _publishCheckpoint (plan: RequestPlan, run: RequestRun, stagesDone: number, result: string): void {
     const stages = plan.pipeline.stages
     if (stages.some(stage => isStageUnrepeatable(plan, stage))) return
-    const sealed = this._options.seal.seal({
+    const sealed = this._options.checkpointSigner.sign({
       customer: plan.customer,
       pipeline: plan.pipeline.name,
       stages: stages.map(stage => stage.name),
@@ -104,7 +104,7 @@
 
   private _finishRun (run: RequestRun, exit: Exit.Exit<void, StageFailure>): void {
     const costs = sumCosts(run.attemptLog.attempts)
-    const outcome: RunEnd = Exit.isSuccess(exit)
+    const outcome: RunOutcome = Exit.isSuccess(exit)
       ? { kind: 'whole', digest: hashSha256(run.chunks.join('')), costs }
       : { kind: 'refused', ...convertFailure(exit.cause), execution: deriveExecutionState(run.attemptLog.attempts), gates: [], costs }
     run.finish(outcome)
--- a/src/services/pipeline/node/stageRunner.ts
+++ b/src/services/pipeline/node/stageRunner.ts
@@ -28,10 +28,10 @@
   readonly retries: RetryPolicy
   readonly decisions: DecisionLog
   /** False while the process must not send new work, for example after a pause until it has refreshed its state. */
-  readonly maySend: () => boolean
-  readonly waitUntilMaySend: () => Promise<void>
+  readonly canSend: () => boolean
+  readonly waitUntilCanSend: () => Promise<void>
   /** The upstream reported that this incarnation of it is leaving. */
-  readonly onDidSeeLeaving: (upstream: string, incarnation: number) => void
+  readonly onDidReportLeaving: (upstream: string, incarnation: number) => void
   readonly onDidEndAttempt: (attempt: EndedAttempt) => void
 }
 
@@ -81,7 +81,7 @@
   private _runAttempts (job: StageJob, progress: StageProgress): Effect.Effect<string, StageFailure> {
     return Effect.gen(this, function * () {
       while (true) {
-        yield * Effect.promise(() => this._options.waitUntilMaySend())
+        yield * Effect.promise(() => this._options.waitUntilCanSend())
         const slot = yield * this._acquire(this._createTicket(job, progress))
         const outcome = yield * this._runOnSlot(job, slot, progress)
         if (outcome.kind === 'answered') return progress.receivedTexts.join('')
@@ -180,7 +180,7 @@
       isUnrepeatable,
       onWillSend: () => this._tryMarkSent(job, attemptId, isResume),
       onDidReceiveText: text => {
-        if (run.end !== undefined) return
+        if (run.outcome !== undefined) return
         progress.receivedTexts.push(text)
         job.onDidReceiveText(text)
       }
@@ -190,21 +190,21 @@
   /** Called before the first byte is written. Returns false if the call must not be sent; otherwise the attempt counts as `sent` from here on. */
   private _tryMarkSent (job: StageJob, attemptId: string, isResume: boolean): boolean {
     const now = this._options.clock.now()
-    if (!this._options.maySend() || now >= job.plan.deadlineAt || job.run.end !== undefined) return false
+    if (!this._options.canSend() || now >= job.plan.deadlineAt || job.run.outcome !== undefined) return false
     if (!isResume) job.run.attemptLog.update(attemptId, 'sent', now)
     return true
   }
 
   private _recordOutcome (job: StageJob, slot: StageSlot, attemptId: string, outcome: UpstreamOutcome, progress: StageProgress): Effect.Effect<void> {
     return Effect.sync(() => {
-      const { clock, onDidEndAttempt, onDidSeeLeaving } = this._options
+      const { clock, onDidEndAttempt, onDidReportLeaving: onDidReportLeaving } = this._options
       const now = clock.now()
       const upstream = slot.view.upstream.name
       const log = job.run.attemptLog
       if (outcome.kind === 'answered') log.update(attemptId, 'answered', now, outcome.busyMs)
       else if (outcome.kind === 'failed') log.update(attemptId, 'ran', now, outcome.busyMs)
       else if (outcome.kind === 'notRun') log.update(attemptId, 'notRun', now)
-      if (outcome.kind === 'notRun' && outcome.isLeaving) onDidSeeLeaving(upstream, outcome.incarnation || slot.view.incarnation)
+      if (outcome.kind === 'notRun' && outcome.isLeaving) onDidReportLeaving(upstream, outcome.incarnation || slot.view.incarnation)
       if (outcome.kind !== 'answered') this._recordDecision(job, 'outcome', outcome.kind, outcome.error.toString(), `upstream=${upstream}`)
       onDidEndAttempt({ role: job.stage.role, upstream, kind: outcome.kind, isRetry: progress.attemptCount > 1, elapsedMs: now - slot.startedAt })
     })
--- a/src/services/pipeline/test/fakes.ts
+++ b/src/services/pipeline/test/fakes.ts
@@ -21,7 +21,7 @@
 import { FairQueue } from '../../scheduling/common/stageQueue.ts'
 import { UpstreamScheduler } from '../../scheduling/common/upstreamScheduler.ts'
 import { RequestRun } from '../../session/common/requestRun.ts'
-import { CheckpointSeal } from '../../session/node/checkpointSeal.ts'
+import { CheckpointSigner } from '../../session/node/checkpointSigner.ts'
 import { UpstreamAdapter } from '../../upstream/common/upstreamAdapter.ts'
 import type { UpstreamCall, UpstreamOutcome, UpstreamReport } from '../../upstream/common/upstreamAdapter.ts'
 import type { RequestPlan } from '../common/requestPlan.ts'
@@ -127,24 +127,24 @@
   })
   const decisions = new DecisionLog(clock, 200)
   const leaving: string[] = []
-  const pause = { maySend: true, waits: 0 }
+  const pause = { canSend: true, waits: 0 }
   const stageRunner = new StageRunner({
     clock,
     adapter,
     scheduler,
     retries: new RetryBudget({ retryRatio: options.retryShare ?? 0.1 }),
     decisions,
-    maySend: () => pause.maySend,
-    waitUntilMaySend: async () => {
-      if (pause.maySend) return
+    canSend: () => pause.canSend,
+    waitUntilCanSend: async () => {
+      if (pause.canSend) return
       pause.waits++
-      pause.maySend = true
+      pause.canSend = true
     },
-    onDidSeeLeaving: upstream => { leaving.push(upstream) },
+    onDidReportLeaving: upstream => { leaving.push(upstream) },
     onDidEndAttempt: () => {}
   })
   const committed = new CommittedWork(clock)
-  const runner = new RequestRunner({ clock, stages: stageRunner, committed, seal: new CheckpointSeal({ key: 'a key for tests only' }), decisions })
+  const runner = new RequestRunner({ clock, stages: stageRunner, committed, checkpointSigner: new CheckpointSigner({ key: 'a key for tests only' }), decisions })
   const pipeline: Pipeline = create(PipelineSchema, {
     name: 'p',
     deadlineMs: 1000,
--- a/src/services/pipeline/test/requestRunner.test.ts
+++ b/src/services/pipeline/test/requestRunner.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { ExecutionClaim } from '../../session/common/attemptLog.ts'
+import type { ExecutionState } from '../../session/common/attemptLog.ts'
 import { createHarness, runPendingTasks, startRequest } from './fakes.ts'
 import type { FakeStage, Harness, ScriptedCall } from './fakes.ts'
 
@@ -24,7 +24,7 @@
   /** Steps by which the clock advances while the request is in progress. */
   readonly advanceMs?: readonly number[]
   /** The whole answer, or the result name and the execution of the refusal. */
-  readonly expected: string | readonly [string, ExecutionClaim]
+  readonly expected: string | readonly [string, ExecutionState]
   /** Number of runs of each role. */
   readonly runs: Readonly<Record<string, number>>
 }
@@ -67,7 +67,7 @@
       await runPendingTasks()
     }
     await done
-    const outcome = run.end
+    const outcome = run.outcome
     if (typeof testCase.expected === 'string') {
       assert.is(outcome?.kind, 'whole', outcome?.kind === 'refused' ? String(outcome.error) : '')
       assert.is(run.chunks.join(''), testCase.expected)
@@ -87,9 +87,9 @@
   setScripts(harness, { encode: ['hang'] })
   const { run, done } = startRequest(harness, true)
   await runPendingTasks()
-  run.abort.abort()
+  run.abortController.abort()
   await done
-  assert.is(run.end?.kind === 'refused' && run.end.error.resultName, 'cancelled')
+  assert.is(run.outcome?.kind === 'refused' && run.outcome.error.resultName, 'cancelled')
   assert.equal(harness.adapter.cancelled, [`${run.requestId}/0/1`])
 })
 
@@ -100,7 +100,7 @@
   await runPendingTasks()
   harness.clock.advance(600)
   await runPendingTasks()
-  const outcome = started[19]?.run.end
+  const outcome = started[19]?.run.outcome
   assert.equal(outcome?.kind === 'refused' ? [outcome.error.resultName, outcome.execution] : undefined, ['deadlinePassed', 'notRun'])
   assert.not(harness.adapter.ran.some(attempt => attempt.startsWith(`${started[19]?.run.requestId}/`)))
 })
@@ -123,27 +123,27 @@
   harness.clock.advance(1001)
   await runPendingTasks()
   await done
-  const outcome = run.end
+  const outcome = run.outcome
   sendLateAnswer()
   await runPendingTasks()
-  assert.is(run.end, outcome)
+  assert.is(run.outcome, outcome)
   assert.equal(run.chunks, [])
 })
 
 test('a process that was paused refreshes its state before it sends', async () => {
   const harness = createHarness(SINGLE_STAGE)
-  harness.pause.maySend = false
+  harness.pause.canSend = false
   const { run, done } = startRequest(harness, true)
   await runPendingTasks()
   await done
   assert.is(harness.pause.waits, 1)
-  assert.is(run.end?.kind, 'whole')
+  assert.is(run.outcome?.kind, 'whole')
 })
 
 test('a process that is paused between the connection and the write does not send the call', async () => {
   const harness = createHarness(SINGLE_STAGE)
   harness.adapter.script = () => {
-    if (harness.adapter.calls.length === 1) harness.pause.maySend = false
+    if (harness.adapter.calls.length === 1) harness.pause.canSend = false
     return 'answer'
   }
   const { run, done } = startRequest(harness, true)
@@ -151,7 +151,7 @@
   harness.clock.advance(50)
   await runPendingTasks()
   await done
-  assert.is(run.end?.kind, 'whole')
+  assert.is(run.outcome?.kind, 'whole')
   assert.equal([harness.adapter.calls.length, harness.adapter.ran.length], [2, 1])
 })
 
--- a/src/services/preparation/common/preparationMessage.ts
+++ b/src/services/preparation/common/preparationMessage.ts
@@ -2,7 +2,7 @@
  * Messages between the owners of jobs and their coordinator, and their validation on receipt.
  */
 import { Schema } from 'effect'
-import { createMessageCheck, listKinds } from '../../rpc/common/messageCheck.ts'
+import { createMessageValidator, listKinds } from '../../rpc/common/messageValidator.ts'
 
 const Count = Schema.Number.pipe(Schema.int(), Schema.nonNegative())
 const NonNegative = Schema.Number.pipe(Schema.nonNegative())
@@ -111,4 +111,4 @@
 
 export type PreparationMessage = typeof PreparationMessageSchema.Type
 
-export const checkPreparationMessage = createMessageCheck(PreparationMessageSchema, listKinds(PreparationMessageSchema.members))
+export const checkPreparationMessage = createMessageValidator(PreparationMessageSchema, listKinds(PreparationMessageSchema.members))
--- a/src/services/rpc/common/messageCheck.ts
+++ b/src/services/rpc/common/messageValidator.ts
@@ -25,7 +25,7 @@
   return typeof kind === 'string' ? kind : undefined
 }
 
-export function createMessageCheck<M, I> (schema: Schema.Schema<M, I>, kinds: ReadonlySet<string>): MessageValidator<M> {
+export function createMessageValidator<M, I> (schema: Schema.Schema<M, I>, kinds: ReadonlySet<string>): MessageValidator<M> {
   const decode = Schema.decodeUnknownEither(schema)
   return frame => {
     const kind = readKind(frame)
--- a/src/services/session/common/attemptLog.ts
+++ b/src/services/session/common/attemptLog.ts
@@ -22,7 +22,7 @@
 }
 
 /** What a refusal reports about the execution of a request without a whole answer. */
-export type ExecutionClaim = 'notRun' | 'mayHaveRun' | 'incomplete'
+export type ExecutionState = 'notRun' | 'mayHaveRun' | 'incomplete'
 
 /** Returns whether the attempt may have had an effect at its upstream. */
 export function mayHaveRun (attempt: Attempt): boolean {
@@ -30,7 +30,7 @@
 }
 
 /** The only place that derives `notRun` from attempts. */
-export function deriveExecutionState (attempts: readonly Attempt[]): ExecutionClaim {
+export function deriveExecutionState (attempts: readonly Attempt[]): ExecutionState {
   const possiblyRunAttempts = attempts.filter(mayHaveRun)
   if (possiblyRunAttempts.length === 0) return 'notRun'
   const hasUnknownOutcome = possiblyRunAttempts.some(attempt => attempt.isUnrepeatable && attempt.state === 'sent')
--- a/src/services/session/common/requestRun.ts
+++ b/src/services/session/common/requestRun.ts
@@ -7,7 +7,7 @@
 import type { LocatedGate } from '../../locate/common/locatePolicy.ts'
 import type { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 import { AttemptLog } from './attemptLog.ts'
-import type { ExecutionClaim } from './attemptLog.ts'
+import type { ExecutionState } from './attemptLog.ts'
 
 /** The run produced the whole answer. */
 export interface WholeOutcome {
@@ -20,7 +20,7 @@
 export interface RefusedOutcome {
   readonly kind: 'refused'
   readonly error: PepperwoodError
-  readonly execution: ExecutionClaim
+  readonly execution: ExecutionState
   /** How long the caller should wait before it submits again; 0 means immediately. */
   readonly retryAfterMs: number
   /** Other gates that the caller can use instead. */
@@ -28,7 +28,7 @@
   readonly costs: readonly StageCost[]
 }
 
-export type RunEnd = WholeOutcome | RefusedOutcome
+export type RunOutcome = WholeOutcome | RefusedOutcome
 
 export interface SealedCheckpoint {
   /** The signed checkpoint, as sent to the caller. */
@@ -52,10 +52,10 @@
   readonly isUnrepeatable: boolean
   readonly startedAt: number
   readonly attemptLog = new AttemptLog()
-  readonly abort = new AbortController()
+  readonly abortController = new AbortController()
   private readonly _chunks: string[] = []
   private _checkpoint: SealedCheckpoint | undefined
-  private _outcome: RunEnd | undefined
+  private _outcome: RunOutcome | undefined
   private _answerSize = 0
   private readonly _onDidChange = new Emitter<void>()
   readonly onDidChange = this._onDidChange.event
@@ -76,7 +76,7 @@
     return this._checkpoint
   }
 
-  get end (): RunEnd | undefined {
+  get outcome (): RunOutcome | undefined {
     return this._outcome
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Finishes the run. Only the first call has an effect. */
-  finish (runOutcome: RunEnd): void {
+  finish (runOutcome: RunOutcome): void {
     if (this._outcome !== undefined) return
     this._outcome = runOutcome
     this._onDidChange.fire()
--- a/src/services/session/common/sessionService.ts
+++ b/src/services/session/common/sessionService.ts
@@ -16,7 +16,7 @@
   readonly expiresAt: number
   /** Pipelines whose requests the caller may submit again in another session, as announced when the session was opened. */
   readonly repeatablePipelines: ReadonlySet<string>
-  readonly seen: SeenNumbers
+  readonly seenRequestNumbers: SeenNumbers
   /** Runs in progress, and finished runs whose answers are retained, by request number. */
   readonly runs: Map<number, RequestRun>
 }
@@ -40,7 +40,7 @@
   readonly maxSessions?: number
   readonly maxSessionsPerCustomer?: number
   /** Limit for the retained answers of finished runs over all sessions, in UTF-16 code units. */
-  readonly maxKeptSize?: number
+  readonly maxRetainedSize?: number
 }
 
 export interface ISessionService {
@@ -49,7 +49,7 @@
   submit (submission: Submission): Either<PepperwoodError, SubmissionDecision>
   findRun (sessionId: string, number: number): Either<PepperwoodError, RequestRun>
   /** Retains the answer of a finished run, and evicts the oldest retained answers above the size limit. */
-  keep (run: RequestRun): void
+  retain (run: RequestRun): void
   readonly runningCount: number
   readonly sessions: readonly Session[]
 }
@@ -75,7 +75,7 @@
     this._lifetimeMs = options.lifetimeMs ?? 600_000
     this._maxSessions = options.maxSessions ?? 20_000
     this._maxSessionsPerCustomer = options.maxSessionsPerCustomer ?? 5_000
-    this._maxRetainedSize = options.maxKeptSize ?? 32 * 1024 * 1024
+    this._maxRetainedSize = options.maxRetainedSize ?? 32 * 1024 * 1024
   }
 
   get runningCount (): number {
@@ -97,7 +97,7 @@
       customer,
       expiresAt: this._clock.now() + this._lifetimeMs,
       repeatablePipelines: new Set(repeatablePipelines),
-      seen: new SeenNumbers(),
+      seenRequestNumbers: new SeenNumbers(),
       runs: new Map()
     }
     this._sessions.set(session.id, session)
@@ -119,7 +119,7 @@
       return Left(new PepperwoodError({ name: 'requestInvalid', message: 'expected an unsigned 32-bit integer greater than 0', place: 'number', value: String(number) }))
     }
     return this.find(submission.sessionId).chain<PepperwoodError, SubmissionDecision>(session => {
-      if (session.seen.check(number) === 'new') return Right({ kind: 'run', run: this._startRun(session, submission) })
+      if (session.seenRequestNumbers.check(number) === 'new') return Right({ kind: 'run', run: this._startRun(session, submission) })
       const run = session.runs.get(number)
       if (run === undefined) return Left(createForgottenError(number))
       if (run.contentDigest !== contentDigest) {
@@ -133,12 +133,12 @@
     return this.find(sessionId).chain(session => {
       const run = session.runs.get(number)
       if (run !== undefined) return Right(run)
-      if (session.seen.check(number) !== 'new') return Left(createForgottenError(number))
+      if (session.seenRequestNumbers.check(number) !== 'new') return Left(createForgottenError(number))
       return Left(new PepperwoodError({ name: 'requestUnknown', message: 'no request of the session has this number', place: 'number', value: String(number) }))
     })
   }
 
-  keep (run: RequestRun): void {
+  retain (run: RequestRun): void {
     this._runningCount--
     this._retainedRuns.add(run)
     this._retainedSize += run.size
@@ -157,7 +157,7 @@
       startedAt: this._clock.now()
     })
     // Marked before the run starts, so that the number never runs again even if the run fails.
-    session.seen.add(submission.number)
+    session.seenRequestNumbers.add(submission.number)
     session.runs.set(submission.number, run)
     this._runningCount++
     return run
@@ -176,7 +176,7 @@
     for (const session of this._sessions.values()) {
       if (session.expiresAt > now) break
       const runs = [...session.runs.values()]
-      if (runs.some(run => run.end === undefined)) continue
+      if (runs.some(run => run.outcome === undefined)) continue
       for (const run of runs) this._evictRun(run)
       this._sessions.delete(session.id)
       this._sessionCountByCustomer.set(session.customer, (this._sessionCountByCustomer.get(session.customer) ?? 1) - 1)
--- a/src/services/session/node/checkpointSeal.ts
+++ b/src/services/session/node/checkpointSigner.ts
@@ -42,7 +42,7 @@
   readonly previousKey?: string
 }
 
-export class CheckpointSeal {
+export class CheckpointSigner {
   private readonly _keys: readonly string[]
 
   constructor (options: CheckpointSignerOptions) {
@@ -50,13 +50,13 @@
   }
 
   /** Returns the signed checkpoint, or undefined if it would exceed `MAX_CHECKPOINT_BYTES`. */
-  seal (content: CheckpointContent): Uint8Array | undefined {
+  sign (content: CheckpointContent): Uint8Array | undefined {
     const body = Buffer.from(JSON.stringify(content))
     if (FORMAT_VERSION_BYTES + MAC_BYTES + body.length > MAX_CHECKPOINT_BYTES) return undefined
     return Buffer.concat([Buffer.from([FORMAT_VERSION]), this._computeMac(this._keys[0] ?? '', body), body])
   }
 
-  open (signedCheckpoint: Uint8Array, expected: ExpectedCheckpoint): Either<PepperwoodError, CheckpointContent> {
+  verify (signedCheckpoint: Uint8Array, expected: ExpectedCheckpoint): Either<PepperwoodError, CheckpointContent> {
     const bytes = Buffer.from(signedCheckpoint)
     if (bytes.length > MAX_CHECKPOINT_BYTES) return Left(createInvalidError('too large'))
     if (bytes.length <= FORMAT_VERSION_BYTES + MAC_BYTES) return Left(createInvalidError('too short'))
--- a/src/services/session/test/attemptLog.test.ts
+++ b/src/services/session/test/attemptLog.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { AttemptLog, canSendAgain, deriveExecutionState } from '../common/attemptLog.ts'
-import type { Attempt, AttemptState, ExecutionClaim } from '../common/attemptLog.ts'
+import type { Attempt, AttemptState, ExecutionState } from '../common/attemptLog.ts'
 
 const SEED = 20261203
 const test = suite('attemptLog')
@@ -11,7 +11,7 @@
   return { attemptId: `a${stageIndex}`, stageIndex, stage: 's', upstream: 'u', isUnrepeatable, state, busyMs: 0, startedAt: 0, endedAt: 0 }
 }
 
-const cases: readonly (readonly [string, readonly Attempt[], ExecutionClaim])[] = [
+const cases: readonly (readonly [string, readonly Attempt[], ExecutionState])[] = [
   ['no attempt', [], 'notRun'],
   ['prepared only', [createAttempt('prepared')], 'notRun'],
   ['known not to have run', [createAttempt('notRun'), createAttempt('notRun')], 'notRun'],
--- a/src/services/session/test/checkpointSeal.test.ts
+++ b/src/services/session/test/checkpointSigner.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { CheckpointSeal } from '../node/checkpointSeal.ts'
-import type { CheckpointContent } from '../node/checkpointSeal.ts'
+import { CheckpointSigner } from '../node/checkpointSigner.ts'
+import type { CheckpointContent } from '../node/checkpointSigner.ts'
 
 const KEY = 'a key of some length'
 const expected = { customer: 'c', pipeline: 'p', stages: ['a', 'b', 'c'], contentDigest: 'd' }
@@ -9,17 +9,17 @@
 const test = suite('checkpointSeal')
 
 function signCheckpoint (options: Partial<CheckpointContent> = {}, key = KEY): Uint8Array {
-  return new CheckpointSeal({ key }).seal({ ...content, ...options }) ?? new Uint8Array()
+  return new CheckpointSigner({ key }).sign({ ...content, ...options }) ?? new Uint8Array()
 }
 
 test('a checkpoint is accepted by any gate with the same key', () => {
-  assert.equal(new CheckpointSeal({ key: KEY }).open(signCheckpoint(), expected).unsafeCoerce(), content)
+  assert.equal(new CheckpointSigner({ key: KEY }).verify(signCheckpoint(), expected).unsafeCoerce(), content)
 })
 
 test('the previous key is accepted during a key rotation', () => {
-  const next = new CheckpointSeal({ key: 'the next key in turn', previousKey: KEY })
-  assert.ok(next.open(signCheckpoint(), expected).isRight())
-  assert.ok(new CheckpointSeal({ key: 'the next key in turn' }).open(signCheckpoint(), expected).isLeft())
+  const next = new CheckpointSigner({ key: 'the next key in turn', previousKey: KEY })
+  assert.ok(next.verify(signCheckpoint(), expected).isRight())
+  assert.ok(new CheckpointSigner({ key: 'the next key in turn' }).verify(signCheckpoint(), expected).isLeft())
 })
 
 function mutateBit (bytes: Uint8Array, index: number): Uint8Array {
@@ -45,13 +45,13 @@
 
 for (const [name, bytes] of refused) {
   test(`a checkpoint is refused with checkpointInvalid: ${name}`, () => {
-    const error = new CheckpointSeal({ key: KEY }).open(bytes, expected).swap().unsafeCoerce()
+    const error = new CheckpointSigner({ key: KEY }).verify(bytes, expected).swap().unsafeCoerce()
     assert.is(error.code, 212)
   })
 }
 
 test('no checkpoint is returned for a result above the size limit', () => {
-  assert.is(new CheckpointSeal({ key: KEY }).seal({ ...content, result: 'x'.repeat(600 * 1024) }), undefined)
+  assert.is(new CheckpointSigner({ key: KEY }).sign({ ...content, result: 'x'.repeat(600 * 1024) }), undefined)
 })
 
 test.run()
--- a/src/services/session/test/sessionService.test.ts
+++ b/src/services/session/test/sessionService.test.ts
@@ -30,7 +30,7 @@
   assert.is(second.run, first.run)
   first.run.addChunk('x')
   first.run.finish({ kind: 'whole', digest: '', costs: [] })
-  service.keep(first.run)
+  service.retain(first.run)
   assert.is(submit(service, session.id, 1).unsafeCoerce().run, first.run)
   assert.is(service.runningCount, 0)
 })
@@ -43,13 +43,13 @@
 })
 
 test('a number whose answer was evicted never runs again', () => {
-  const { service } = createService({ maxKeptSize: 10 })
+  const { service } = createService({ maxRetainedSize: 10 })
   const session = service.open('c').unsafeCoerce()
   for (const number of [1, 2]) {
     const { run } = submit(service, session.id, number).unsafeCoerce()
     run.addChunk('12345678')
     run.finish({ kind: 'whole', digest: '', costs: [] })
-    service.keep(run)
+    service.retain(run)
   }
   assert.is(readError(submit(service, session.id, 1)), 'outcomeForgotten')
   assert.is(submit(service, session.id, 2).unsafeCoerce().kind, 'attach')
@@ -64,7 +64,7 @@
   service.open('c')
   assert.is(service.sessions.length, 2)
   run.finish({ kind: 'whole', digest: '', costs: [] })
-  service.keep(run)
+  service.retain(run)
   service.open('c')
   assert.is(service.sessions.length, 2)
   assert.not(service.sessions.includes(session))
