--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -15,7 +15,7 @@
 /** A clock to which uncounted time can be added. */
 export interface ISuspendableClock extends IClock {
   /** Adds the time for which the machine was suspended; scheduled functions run that much earlier. */
-  addSuspended (ms: number): void
+  addSuspendedTime (ms: number): void
 }
 
 interface Timer {
@@ -53,7 +53,7 @@
     this._now = until
   }
 
-  addSuspended (ms: number): void {
+  addSuspendedTime (ms: number): void {
     this.advance(ms)
   }
 
--- a/src/base/common/decayingCount.ts
+++ b/src/base/common/decayingCounter.ts
@@ -4,7 +4,7 @@
  */
 import type { IClock } from './clock.ts'
 
-export class DecayingCount {
+export class DecayingCounter {
   private _value = 0
   private _updatedAt = 0
 
--- a/src/base/common/random.ts
+++ b/src/base/common/random.ts
@@ -30,6 +30,6 @@
 }
 
 /** Returns a uniformly distributed integer from `min` up to and including `max`. */
-export function drawCount (random: IRandom, min: number, max: number): number {
+export function drawInteger (random: IRandom, min: number, max: number): number {
   return min + Math.floor(random.next() * (max - min + 1))
 }
--- a/src/base/common/slidingCount.ts
+++ b/src/base/common/slidingWindowCounter.ts
@@ -1,7 +1,7 @@
 /**
  * Counts events per key within a sliding time window.
  */
-export class SlidingCount {
+export class SlidingWindowCounter {
   private readonly _times = new Map<string, readonly number[]>()
 
   constructor (private readonly _windowMs: number) {}
@@ -14,7 +14,7 @@
     return this._listRecent(key, now).length
   }
 
-  drop (key: string): void {
+  remove (key: string): void {
     this._times.delete(key)
   }
 
--- a/src/base/node/systemClock.ts
+++ b/src/base/node/systemClock.ts
@@ -49,7 +49,7 @@
     }
   }
 
-  addSuspended (ms: number): void {
+  addSuspendedTime (ms: number): void {
     this._suspendedMs += ms
     // Timers of the operating system do not count the suspended time either, so they are restarted.
     const now = this.now()
--- a/src/base/test/faultRelay.ts
+++ b/src/base/test/faultRelay.ts
@@ -27,17 +27,17 @@
   }
 
   /** Resets the current connections. */
-  cancelOpen (): void {
+  resetConnections (): void {
     for (const pair of this._pairs) pair.resetSockets()
   }
 
   /** Discards all data, also of new connections. Once traffic is restored, only connections opened from then on are forwarded. */
-  cut (): void {
+  blockTraffic (): void {
     this._isBlocked = true
     this.stopForwarding()
   }
 
-  heal (): void {
+  restoreTraffic (): void {
     this._isBlocked = false
   }
 
--- a/src/client/gateDirectory.ts
+++ b/src/client/gateDirectory.ts
@@ -8,7 +8,7 @@
 import type { IClock } from '../base/common/clock.ts'
 import { RequestService } from '../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { ConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
-import { compareNumbers, NO_CONFIGURATION } from '../services/configuration/common/configurationNumber.ts'
+import { compareConfigurationNumbers, NO_CONFIGURATION } from '../services/configuration/common/configurationNumber.ts'
 
 export type GateClient = Client<typeof RequestService>
 
@@ -45,7 +45,7 @@
   }
 
   noteConfiguration (number: ConfigurationNumber | undefined): void {
-    if (number !== undefined && compareNumbers(number, this._seen) > 0) this._seen = { epoch: number.epoch, version: number.version }
+    if (number !== undefined && compareConfigurationNumbers(number, this._seen) > 0) this._seen = { epoch: number.epoch, version: number.version }
   }
 
   getClient (address: string): GateClient {
--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -6,14 +6,14 @@
 import { Agent } from 'node:http'
 import { parseAddress } from '../base/common/address.ts'
 import type { ISuspendableClock } from '../base/common/clock.ts'
-import { DecayingCount } from '../base/common/decayingCount.ts'
+import { DecayingCounter } from '../base/common/decayingCounter.ts'
 import { Disposable, toDisposable } from '../base/common/disposable.ts'
 import { Emitter } from '../base/common/event.ts'
 import type { IRandom } from '../base/common/random.ts'
 import { startInterval, waitFor } from '../base/node/interval.ts'
 import { BackoffPieceCalls } from '../services/backoff/node/backoffPieceCalls.ts'
 import type { ConfigurationSource } from '../services/configuration/common/configurationSource.ts'
-import { formatNumber } from '../services/configuration/common/configurationNumber.ts'
+import { formatConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
 import type { AcceptedConfiguration } from '../services/configuration/common/configurationService.ts'
 import { formatPosition } from '../services/feed/common/sourcePosition.ts'
 import { FeedService } from '../services/feed/node/feedService.ts'
@@ -51,12 +51,12 @@
 import { createNodeGauges } from './nodeGauges.ts'
 import { NodeMetrics } from './nodeMetrics.ts'
 import { NodeQuota } from './nodeQuota.ts'
-import { NodeStatusReporter } from './nodeReport.ts'
+import { NodeStatusReporter } from './nodeStatusReporter.ts'
 import type { NodeSettings } from './nodeSettings.ts'
 import { NodeStatements } from './nodeStatements.ts'
-import { GracefulShutdown } from './plannedStop.ts'
+import { GracefulShutdown } from './gracefulShutdown.ts'
 import { createStatementsHandler } from './statementsHandler.ts'
-import { UpstreamSharing } from './upstreamSharing.ts'
+import { UpstreamSynchronizer } from './upstreamSynchronizer.ts'
 
 export interface EntryNodeOptions {
   readonly settings: NodeSettings
@@ -96,7 +96,7 @@
   private readonly _callerDirectory: CallerDirectory
   private readonly _pauseDetector: PauseDetector
   private readonly _pauseRecovery: PauseRecovery
-  private readonly _recentRequestCount: DecayingCount
+  private readonly _recentRequestCount: DecayingCounter
   private readonly _metrics: NodeMetrics
   private readonly _quarantine: QuarantineService
   private readonly _quota: NodeQuota
@@ -115,7 +115,7 @@
   private readonly _statusReporter: NodeStatusReporter
   private _isDraining = false
   private readonly _startedAt: number
-  private readonly _upstreamSynchronizer: UpstreamSharing
+  private readonly _upstreamSynchronizer: UpstreamSynchronizer
   private _isJobMoveScheduled = false
 
   constructor (options: EntryNodeOptions) {
@@ -126,7 +126,7 @@
     this._startedAt = clock.now()
     this._hallRegions = new HallRegions(settings.hall_regions)
     this._pauseDetector = new PauseDetector({ clock, getTimeOfDay: Date.now })
-    this._recentRequestCount = new DecayingCount(clock, LOAD_TIME_CONSTANT_MS)
+    this._recentRequestCount = new DecayingCounter(clock, LOAD_TIME_CONSTANT_MS)
     this._fleetMember = this._register(new FleetMember({
       ...options,
       address: settings.address,
@@ -184,10 +184,10 @@
       coldRateMultiplier: settings.cold_share,
       extraColdRequestsPerS: settings.cold_spare
     }))
-    this._statements = this._register(new NodeStatements({ clock, log, registry: this._registry, noteRate: (upstream, perS) => this._quota.statedLimits.recordLimit(upstream, perS) }))
+    this._statements = this._register(new NodeStatements({ clock, log, registry: this._registry, recordRateLimit: (upstream, perS) => this._quota.statedLimits.recordLimit(upstream, perS) }))
     const { backoffs, guard } = this._statements
     const pieceProtocol = new BackoffPieceCalls(new RateLimitedPieceCalls(options.pieceProtocol, this._quota.service), backoffs, clock)
-    this._register(pieceProtocol.onDidReceiveStatement(batch => this._statements.note(batch)))
+    this._register(pieceProtocol.onDidReceiveStatement(batch => this._statements.recordStatements(batch)))
     this._coordinator = this._register(new PreparationCoordinator({ clock, log, protocol: pieceProtocol, registry: this._registry, getTable, limits: this._quota.limits, guard }))
     this._preparationServer = this._register(new PreparationServer(this._coordinator, log, (upstream, limit) => this._quota.acquireForPeer(upstream, limit)))
     this._preparationClient = this._register(new PreparationClient({
@@ -219,7 +219,7 @@
         pool: new RelayPool({ clock, registry: this._registry, router: new AffinityRouter({ random }), createHealth: () => new EjectingTracker(), countNodes: () => this.countNodes(), hasTerminated: id => this._quarantine.hasEnded(id), quota: this._quota.service, backoffs }),
         guard,
         backoffs,
-        recordStatements: batch => this._statements.note(batch),
+        recordStatements: batch => this._statements.recordStatements(batch),
         quota: this._quota.service,
         retry: new WindowedRetryBudget({ clock, windowMs: settings.retry_window_s * 1000, retryRatio: settings.retry_share * RETRY_BUDGET_FRACTION, getBaseRetries: () => settings.retry_spare * RETRY_BUDGET_FRACTION / this.countNodes() }),
         preparation: this._preparationClient,
@@ -245,12 +245,12 @@
     })
     this._register(this._relayServer.onDidEnd(ended => this._recordCompletion(ended)))
     this._register(this._fleetMember.configuration.onDidAccept(accepted => this._applyConfiguration(accepted)))
-    this._upstreamSynchronizer = this._register(new UpstreamSharing({ clock, log, facts: this._fleetMember.facts, registry: this._registry, source: options.upstreamSource, getColdMs: role => this._relayTable?.getRole(role)?.coldMs ?? 0 }))
+    this._upstreamSynchronizer = this._register(new UpstreamSynchronizer({ clock, log, facts: this._fleetMember.facts, registry: this._registry, source: options.upstreamSource, getColdMs: role => this._relayTable?.getRole(role)?.coldMs ?? 0 }))
     this._register(this._fleetMember.facts.onDidChange(fact => { if (fact.value.kind === 'member') this._scheduleJobMove() }))
     this._register(this._fleetMember.onDidJoin(() => this._scheduleJobMove()))
     for (const source of [options.configurationSource, options.upstreamSource]) this._register(source)
     this._register(options.configurationSource.onDidRead(document => this._fleetMember.offer(document)))
-    this._register(options.configurationSource.onDidMiss(revision => this._scheduleMissedRead(revision)))
+    this._register(options.configurationSource.onDidMissDocument(revision => this._scheduleMissedRead(revision)))
   }
 
   get isReady (): boolean {
@@ -318,7 +318,7 @@
   private _describeConfiguration (): string {
     const { current, number } = this._fleetMember.configuration
     const ageMs = current === undefined ? 0 : this._options.clock.now() - current.acceptedAt
-    return `${formatNumber(number)} for ${Math.round(ageMs)} ms`
+    return `${formatConfigurationNumber(number)} for ${Math.round(ageMs)} ms`
   }
 
   private _findReadinessError (): PepperwoodError | undefined {
--- a/src/entryNode/nodeStatements.ts
+++ b/src/entryNode/nodeStatements.ts
@@ -16,7 +16,7 @@
   readonly log: ILogService
   readonly registry: UpstreamRegistry
   /** Records the rate that an upstream accepts, in requests per second; undefined means that it has no limit. */
-  readonly noteRate: (upstream: string, perS: number | undefined) => void
+  readonly recordRateLimit: (upstream: string, perS: number | undefined) => void
 }
 
 const ANSWER_SIGNAL = 'answer'
@@ -36,11 +36,11 @@
   constructor (options: NodeStatementsOptions) {
     super()
     this._options = options
-    const { registry, noteRate } = options
+    const { registry, recordRateLimit: recordRateLimit } = options
     this.backoffs = this._register(new BackoffService(options))
     this.guard = new SendGuard({ ...options, backoffs: this.backoffs })
     this._receivers = {
-      rate: (upstream, { perS }) => noteRate(upstream, perS),
+      rate: (upstream, { perS }) => recordRateLimit(upstream, perS),
       leaving: upstream => registry.markLeaving(upstream, ANSWER_SIGNAL),
       backoff: (upstream, { forMs }) => this.backoffs.recordBackoff(upstream, forMs),
       invalid: (upstream, { name, value }) => this._recordInvalidStatement(upstream, name, value)
@@ -52,7 +52,7 @@
     return this._invalidCount
   }
 
-  note (batch: StatementBatch): void {
+  recordStatements (batch: StatementBatch): void {
     dispatchStatements(batch, this._receivers)
     for (const statement of batch.statements) if (!isDefaultStatement(statement)) this._onDidRecordStatement.fire(statement.kind)
   }
--- a/src/entryNode/test/nodeStatements.test.ts
+++ b/src/entryNode/test/nodeStatements.test.ts
@@ -16,10 +16,10 @@
   const clock = new VirtualClock()
   const registry = new UpstreamRegistry()
   registry.update({ id: 'u', role: 'r', address: '127.0.0.1:9', hall: 'x', slots: 1, isLeaving: false }, 'test')
-  const node = new NodeStatements({ clock, log, registry, noteRate: (_upstream, perS) => rates.push(perS) })
+  const node = new NodeStatements({ clock, log, registry, recordRateLimit: (_upstream, perS) => rates.push(perS) })
   const kinds: string[] = []
   node.onDidRecordStatement(kind => kinds.push(kind))
-  node.note({ upstream: 'u', statements })
+  node.recordStatements({ upstream: 'u', statements })
   return { lines, rates, node, registry, kinds }
 }
 
--- a/src/entryNode/upstreamSharing.ts
+++ b/src/entryNode/upstreamSynchronizer.ts
@@ -13,7 +13,7 @@
 import type { UpstreamChange, UpstreamRegistry } from '../services/upstream/common/upstreamRegistry.ts'
 import type { Evacuation, UpstreamUpdate, UpstreamSource } from '../services/upstream/common/upstreamSource.ts'
 
-export interface UpstreamSharingOptions {
+export interface UpstreamSynchronizerOptions {
   readonly clock: IClock
   readonly log: ILogService
   readonly facts: FactStore
@@ -38,14 +38,14 @@
 /** Upstreams that are cold after a readmission are warm again within a few seconds. */
 const READMISSION_DELAY_MS = 4000
 
-export class UpstreamSharing extends Disposable {
-  private readonly _options: UpstreamSharingOptions
+export class UpstreamSynchronizer extends Disposable {
+  private readonly _options: UpstreamSynchronizerOptions
   /** Halls that this node's own source reports as evacuated. */
   private readonly _hallsEvacuatedBySource = new Set<string>()
   /** Halls that peers reported as readmitted, with the source revision of the readmission. */
   private readonly _pendingReadmissions = new Map<string, number>()
 
-  constructor (options: UpstreamSharingOptions) {
+  constructor (options: UpstreamSynchronizerOptions) {
     super()
     this._options = options
     this._register(options.registry.onDidChange(change => this._handleRegistryChange(change)))
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -2,7 +2,7 @@
  * A gate: answers which address to use, owns requests, runs their stages and streams their answers.
  */
 import { parseAddress } from '../base/common/address.ts'
-import { DecayingCount } from '../base/common/decayingCount.ts'
+import { DecayingCounter } from '../base/common/decayingCounter.ts'
 import { Disposable } from '../base/common/disposable.ts'
 import { Emitter } from '../base/common/event.ts'
 import type { IClock } from '../base/common/clock.ts'
@@ -11,10 +11,10 @@
 import { startInterval, waitFor } from '../base/node/interval.ts'
 import { OperatorService, RequestService } from '../generated/pepperwood/v1/pepperwood_pb.ts'
 import { CommittedWork } from '../services/admission/common/committedWork.ts'
-import { compareNumbers, formatNumber } from '../services/configuration/common/configurationNumber.ts'
+import { compareConfigurationNumbers, formatConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
 import type { ConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
 import { ConfigurationService } from '../services/configuration/common/configurationService.ts'
-import { FetchGuard } from '../services/configuration/common/fetchGuard.ts'
+import { FetchDeduplicator } from '../services/configuration/common/fetchDeduplicator.ts'
 import { formatGateSubject } from '../services/facts/common/fact.ts'
 import { FactStore } from '../services/facts/common/factStore.ts'
 import { StewardSubscription } from '../services/facts/node/stewardSubscription.ts'
@@ -76,7 +76,7 @@
   private readonly _scheduler: UpstreamScheduler
   private readonly _decisions: DecisionLog
   private readonly _pause: PauseDetector
-  private readonly _recent: DecayingCount
+  private readonly _recent: DecayingCounter
   private readonly _subscription: StewardSubscription
   private readonly _requests: GateRequests
   private readonly _metrics: GateMetrics
@@ -100,7 +100,7 @@
     this._configuration = this._register(new ConfigurationService(clock))
     this._decisions = new DecisionLog(clock)
     this._pause = new PauseDetector({ clock, getTimeOfDay: Date.now })
-    this._recent = new DecayingCount(clock, RECENT_MS)
+    this._recent = new DecayingCounter(clock, RECENT_MS)
     this._sessions = new SessionService({
       clock,
       createId: () => createRandomId(SESSION_ID_BYTES),
@@ -113,7 +113,7 @@
     this._subscription = this._register(this._createSubscription())
     this._requests = this._createRequests()
     this._register(this._configuration.onDidAccept(accepted => {
-      options.log.info('configuration_accepted', { number: formatNumber(accepted.number), source: accepted.source })
+      options.log.info('configuration_accepted', { number: formatConfigurationNumber(accepted.number), source: accepted.source })
       this._announce()
     }))
     this._register(this._subscription.onDidConnect(() => { void this._refresh() }))
@@ -182,7 +182,7 @@
       link: {
         facts: this._facts,
         configuration: this._configuration,
-        fetchGuard: new FetchGuard(this._options.clock),
+        fetchGuard: new FetchDeduplicator(this._options.clock),
         log,
         hello: { kind: 'hello', role: 'gate', address: settings.address, hall: settings.hall },
         mayShareConfiguration: () => true,
@@ -292,7 +292,7 @@
 
   private async _catchUp (number: ConfigurationNumber): Promise<boolean> {
     const until = this._options.clock.now() + CATCH_UP_MS
-    const isBehind = () => compareNumbers(this._configuration.number, number) < 0
+    const isBehind = () => compareConfigurationNumbers(this._configuration.number, number) < 0
     this._subscription.askForConfiguration()
     while (isBehind() && this._options.clock.now() < until) await waitFor(POLL_MS)
     return !isBehind()
--- a/src/gate/gateRequests.ts
+++ b/src/gate/gateRequests.ts
@@ -7,7 +7,7 @@
 import type { AttachRequest, LocateRequest, OpenSessionRequest, Pipeline, SubmitRequest } from '../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { AdmissionPolicy, StageForecast } from '../services/admission/common/admissionPolicy.ts'
 import type { CommittedWork } from '../services/admission/common/committedWork.ts'
-import { compareNumbers, formatNumber } from '../services/configuration/common/configurationNumber.ts'
+import { compareConfigurationNumbers, formatConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
 import type { ConfigurationNumber } from '../services/configuration/common/configurationNumber.ts'
 import type { IConfigurationService } from '../services/configuration/common/configurationService.ts'
 import type { DecisionLog } from '../services/inspect/common/decisionLog.ts'
@@ -147,7 +147,7 @@
       const stagesDone = checkpoint?.stagesDone ?? 0
       const customerWeight = customer.weight === 0 ? 1 : customer.weight
       const decision = admission.decide({ customer: customer.name, customerWeight, timeLeftMs, priority: pipeline.priority, stages: this._forecast(pipeline, stagesDone) }, committed)
-      const inputs = `customer=${customer.name} pipeline=${pipeline.name} timeLeftMs=${timeLeftMs} configuration=${formatNumber(accepted.number)}`
+      const inputs = `customer=${customer.name} pipeline=${pipeline.name} timeLeftMs=${timeLeftMs} configuration=${formatConfigurationNumber(accepted.number)}`
       return decision.bimap(
         ({ error, retryAfterMs }) => {
           decisions.record({ subject: run.requestId, kind: 'refuse', choice: error.resultName, reason: error.message, inputs })
@@ -194,7 +194,7 @@
     const { isReady, isDraining, configuration, catchUp } = this._options
     if (!isReady()) return createError('gateNotReady', 'the gate has no view yet', '', '')
     if (isDraining()) return createError('gateDraining', 'the gate is stopping', '', '')
-    if (seen === undefined || compareNumbers(seen, configuration.number) <= 0) return undefined
+    if (seen === undefined || compareConfigurationNumbers(seen, configuration.number) <= 0) return undefined
     if (await catchUp(seen)) return undefined
     return createError('configurationBehind', 'the caller has seen a higher configuration', 'seenConfiguration', `${seen.epoch}.${seen.version}`)
   }
--- a/src/load/lab/labDeployment.ts
+++ b/src/load/lab/labDeployment.ts
@@ -2,7 +2,7 @@
  * Deployments and loads drawn from a seed: roles, upstreams, kinds of request, bursts, slow upstreams and lost planners.
  * The ranges are wide, so that a decision that only fits one deployment shows.
  */
-import { drawBetween, drawCount, SeededRandom } from '../../base/common/random.ts'
+import { drawBetween, drawInteger, SeededRandom } from '../../base/common/random.ts'
 import type { IRandom } from '../../base/common/random.ts'
 import { computePieceCost } from '../../services/preparation/common/pieceUpstream.ts'
 import type { PieceWorkSpec } from '../../services/preparation/common/pieceUpstream.ts'
@@ -78,7 +78,7 @@
 
 function createWork (random: IRandom, resultBytes: number): PieceWorkSpec {
   const callMs = Math.round(drawBetween(random, 150, 220))
-  const maxPiecesPerCall = resultBytes === LARGE_BYTES ? drawCount(random, 6, 12) : drawCount(random, 18, 60)
+  const maxPiecesPerCall = resultBytes === LARGE_BYTES ? drawInteger(random, 6, 12) : drawInteger(random, 18, 60)
   return {
     concurrentCalls: 1,
     maxPiecesPerCall,
@@ -91,7 +91,7 @@
 
 function createUpstreams (random: IRandom, role: string, halls: number, resultBytes: number): readonly LabUpstream[] {
   const work = createWork(random, resultBytes)
-  const count = drawCount(random, 3, 9)
+  const count = drawInteger(random, 3, 9)
   return Array.from({ length: count }, (_, index) => ({ id: `${role}-${index}`, role, hall: `h${index % halls}`, work }))
 }
 
@@ -125,14 +125,14 @@
 /** Everything follows from the seed. */
 export function drawDeployment (seed: number): LabDeployment {
   const random = new SeededRandom(seed)
-  const halls = drawCount(random, 1, 4)
+  const halls = drawInteger(random, 1, 4)
   const upstreams = [
     ...createUpstreams(random, 'large', halls, LARGE_BYTES),
     ...createUpstreams(random, 'middle', halls, MIDDLE_BYTES),
     ...createUpstreams(random, 'small', halls, SMALL_BYTES)
   ]
   const createBurst = (at: number, kind: string | undefined): LabBurst => ({ at, forMs: drawBetween(random, 4000, 7000), factor: drawBetween(random, kind === undefined ? 1.5 : 2, kind === undefined ? 1.8 : 2.6), kind })
-  const slow = upstreams[drawCount(random, 0, upstreams.length - 1)]
+  const slow = upstreams[drawInteger(random, 0, upstreams.length - 1)]
   return {
     seed,
     lengthMs: LENGTH_MS,
--- a/src/services/admission/common/committedWork.ts
+++ b/src/services/admission/common/committedWork.ts
@@ -1,5 +1,5 @@
 import type { IClock } from '../../../base/common/clock.ts'
-import { DecayingCount } from '../../../base/common/decayingCount.ts'
+import { DecayingCounter } from '../../../base/common/decayingCounter.ts'
 
 /**
  * Number of admitted requests of one customer and priority that have yet to finish a role. Requests that are still in an
@@ -28,7 +28,7 @@
 export class CommittedWork {
   private readonly _workByRole = new Map<string, Map<string, CustomerWork>>()
   /** Milliseconds of calls admitted recently, by role and priority. */
-  private readonly _offeredLoads = new Map<string, Map<number, DecayingCount>>()
+  private readonly _offeredLoads = new Map<string, Map<number, DecayingCounter>>()
 
   constructor (private readonly _clock: IClock) {}
 
@@ -75,9 +75,9 @@
   }
 
   private _addOfferedLoad (item: WorkItem): void {
-    const loadByPriority = this._offeredLoads.get(item.role) ?? new Map<number, DecayingCount>()
+    const loadByPriority = this._offeredLoads.get(item.role) ?? new Map<number, DecayingCounter>()
     this._offeredLoads.set(item.role, loadByPriority)
-    const load = loadByPriority.get(item.priority) ?? new DecayingCount(this._clock, LOAD_TIME_CONSTANT_MS)
+    const load = loadByPriority.get(item.priority) ?? new DecayingCounter(this._clock, LOAD_TIME_CONSTANT_MS)
     loadByPriority.set(item.priority, load)
     load.add(item.usualMs)
   }
--- a/src/services/configuration/common/configurationNumber.ts
+++ b/src/services/configuration/common/configurationNumber.ts
@@ -10,11 +10,11 @@
 export const NO_CONFIGURATION: ConfigurationNumber = { epoch: 0, version: 0 }
 
 /** Returns a negative number, zero or a positive number if a is lower than, equal to or higher than b. */
-export function compareNumbers (a: ConfigurationNumber, b: ConfigurationNumber): number {
+export function compareConfigurationNumbers (a: ConfigurationNumber, b: ConfigurationNumber): number {
   return a.epoch - b.epoch || a.version - b.version
 }
 
-export function formatNumber (number: ConfigurationNumber): string {
+export function formatConfigurationNumber (number: ConfigurationNumber): string {
   return `${number.epoch}.${number.version}`
 }
 
@@ -25,6 +25,6 @@
 }
 
 /** Orders documents. If two operators use one number for different documents, the platform's later write is the higher one. */
-export function compareStamps (a: ConfigurationStamp, b: ConfigurationStamp): number {
-  return compareNumbers(a.number, b.number) || a.revision - b.revision
+export function compareConfigurationStamps (a: ConfigurationStamp, b: ConfigurationStamp): number {
+  return compareConfigurationNumbers(a.number, b.number) || a.revision - b.revision
 }
--- a/src/services/configuration/common/configurationRules.ts
+++ b/src/services/configuration/common/configurationRules.ts
@@ -7,7 +7,7 @@
 import { MAX_EPOCH, MAX_VERSION } from '../../order/common/fencing.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 import { listRelayProblems } from './relayRules.ts'
-import type { ProblemReporter } from './ruleReport.ts'
+import type { ProblemReporter } from './problemReporter.ts'
 
 const NAME_PATTERN = /^[a-z0-9][a-z0-9._-]{0,62}$/
 const DIGEST_PATTERN = /^[0-9a-f]{64}$/
--- a/src/services/configuration/common/configurationService.ts
+++ b/src/services/configuration/common/configurationService.ts
@@ -11,7 +11,7 @@
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 import { readDocument } from './configurationDocument.ts'
 import type { CheckedConfiguration, ConfigurationText } from './configurationDocument.ts'
-import { compareStamps, formatNumber, NO_CONFIGURATION } from './configurationNumber.ts'
+import { compareConfigurationStamps, formatConfigurationNumber, NO_CONFIGURATION } from './configurationNumber.ts'
 import type { ConfigurationNumber } from './configurationNumber.ts'
 
 /** A configuration that was put into force, with its source and time. */
@@ -31,7 +31,7 @@
 
 /** Whether a document supersedes the one in force. Equal stamps are ordered by text, so that all processes choose the same one. */
 function isSuperseding (offered: CheckedConfiguration, held: CheckedConfiguration): boolean {
-  const order = compareStamps(offered, held)
+  const order = compareConfigurationStamps(offered, held)
   return order > 0 || (order === 0 && offered.text > held.text)
 }
 
@@ -64,9 +64,9 @@
   private _createNotHigherError (checked: CheckedConfiguration, source: string): PepperwoodError {
     return new PepperwoodError({
       name: 'configurationNotHigher',
-      message: `${formatNumber(this.number)} is in force`,
+      message: `${formatConfigurationNumber(this.number)} is in force`,
       place: source,
-      value: formatNumber(checked.number)
+      value: formatConfigurationNumber(checked.number)
     })
   }
 }
--- a/src/services/configuration/common/configurationSource.ts
+++ b/src/services/configuration/common/configurationSource.ts
@@ -12,7 +12,7 @@
 
   private readonly _onDidMissDocument = this._register(new Emitter<number>())
   /** Fires with the source revision of a published document that this node has not received; peers may have it. */
-  readonly onDidMiss = this._onDidMissDocument.event
+  readonly onDidMissDocument = this._onDidMissDocument.event
 
   /** Starts to follow changes of the source, until disposed of. */
   abstract start (): void
@@ -24,7 +24,7 @@
     this._onDidRead.fire(document)
   }
 
-  protected _noteMissed (revision: number): void {
+  protected _reportMissed (revision: number): void {
     this._onDidMissDocument.fire(revision)
   }
 }
--- a/src/services/configuration/common/relayRules.ts
+++ b/src/services/configuration/common/relayRules.ts
@@ -3,7 +3,7 @@
  */
 import { RouteKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { PieceWork, PreparationStage, Relay, RelayCustomer, Route } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
-import type { ProblemReporter } from './ruleReport.ts'
+import type { ProblemReporter } from './problemReporter.ts'
 
 const DIGEST_PATTERN = /^[0-9a-f]{64}$/
 
--- a/src/services/configuration/node/platformReader.ts
+++ b/src/services/configuration/node/platformReader.ts
@@ -20,7 +20,7 @@
   /** Addresses of the platform's service; after a failed call the next one is used. */
   readonly addresses: readonly string[]
   readonly localAddress?: string
-  readonly onDidCall?: (isOk: boolean) => void
+  readonly onDidCompleteCall?: (isOk: boolean) => void
   readonly timeoutMs?: number
 }
 
@@ -43,7 +43,7 @@
   async read (key: string, afterRevision = 0, waitMs = 0): Promise<Either<PepperwoodError, PlatformValue | undefined>> {
     const address = this._options.addresses[this._addressIndex % this._options.addresses.length] ?? ''
     const result = await this._readFrom(address, `/v1/values/${key}?after=${afterRevision}&wait_ms=${waitMs}`, waitMs)
-    this._options.onDidCall?.(result.isRight())
+    this._options.onDidCompleteCall?.(result.isRight())
     if (result.isLeft()) this._addressIndex++
     return result
   }
--- a/src/services/configuration/node/valueWatcher.ts
+++ b/src/services/configuration/node/valueWatcher.ts
@@ -13,7 +13,7 @@
   readonly key: string
   readonly log: ILogService
   /** Whether this process is one of the few that watch. */
-  readonly isOnDuty: () => boolean
+  readonly shouldWatch: () => boolean
   readonly onDidRead: (value: PlatformValue) => void
   /** How long one watch call waits for a change. */
   readonly watchTimeoutMs?: number
@@ -47,7 +47,7 @@
   private async _pollUntilDisposed (): Promise<void> {
     let elapsedMs = 0
     while (!this._isDisposed) {
-      if (this._options.isOnDuty()) {
+      if (this._options.shouldWatch()) {
         const startedAt = performance.now()
         await this._read(this._options.watchTimeoutMs ?? 10_000)
         // Avoids a busy loop if the platform answers at once without a new value.
--- a/src/services/configuration/test/configurationService.test.ts
+++ b/src/services/configuration/test/configurationService.test.ts
@@ -5,7 +5,7 @@
 import { VirtualClock } from '../../../base/common/clock.ts'
 import { ConfigurationSchema, UpstreamKind } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { checkDocument } from '../common/configurationDocument.ts'
-import { compareStamps } from '../common/configurationNumber.ts'
+import { compareConfigurationStamps } from '../common/configurationNumber.ts'
 import { ConfigurationService } from '../common/configurationService.ts'
 
 const SEED = 20261204
@@ -68,7 +68,7 @@
     for (const text of texts) {
       const before = inOrder.current
       inOrder.offer(text, 'x')
-      if (before !== undefined && inOrder.current !== undefined) assert.ok(compareStamps(inOrder.current, before) >= 0)
+      if (before !== undefined && inOrder.current !== undefined) assert.ok(compareConfigurationStamps(inOrder.current, before) >= 0)
     }
     const left = [...texts]
     while (left.length > 0) for (const text of left.splice((draws.next().value ?? 0) % left.length, 1)) shuffled.offer(text, 'y')
--- a/src/services/facts/node/peerLink.ts
+++ b/src/services/facts/node/peerLink.ts
@@ -6,10 +6,10 @@
 import { Emitter } from '../../../base/common/event.ts'
 import { parseAddress } from '../../../base/common/address.ts'
 import { FrameConnection } from '../../../base/node/frameConnection.ts'
-import { compareStamps } from '../../configuration/common/configurationNumber.ts'
+import { compareConfigurationStamps } from '../../configuration/common/configurationNumber.ts'
 import type { ConfigurationStamp } from '../../configuration/common/configurationNumber.ts'
 import type { IConfigurationService } from '../../configuration/common/configurationService.ts'
-import type { FetchGuard } from '../../configuration/common/fetchGuard.ts'
+import type { FetchDeduplicator } from '../../configuration/common/fetchDeduplicator.ts'
 import type { ILogService } from '../../log/node/logger.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 import type { Fact } from '../common/fact.ts'
@@ -22,7 +22,7 @@
   readonly facts: FactStore
   readonly configuration: IConfigurationService
   /** Shared by all links of the process. */
-  readonly fetchGuard: FetchGuard
+  readonly fetchGuard: FetchDeduplicator
   readonly log: ILogService
   /** The first message of this side. */
   readonly hello: Extract<WireMessage, { readonly kind: 'hello' }>
@@ -141,7 +141,7 @@
   sendConfiguration (peerStamp: ConfigurationStamp): void {
     const current = this._options.configuration.current
     if (current === undefined || !this._options.mayShareConfiguration()) return
-    if (compareStamps(current, peerStamp) <= 0) return
+    if (compareConfigurationStamps(current, peerStamp) <= 0) return
     this.send({ kind: 'configuration', text: current.text, revision: current.revision })
   }
 
@@ -152,8 +152,8 @@
    */
   private _compareConfiguration (peerStamp: ConfigurationStamp): void {
     const localStamp = this._getLocalStamp()
-    if (compareStamps(peerStamp, localStamp) < 0) this.announceConfiguration()
-    else if (this._options.fetchGuard.begin(peerStamp, localStamp)) this.send({ kind: 'configurationWanted', ...localStamp })
+    if (compareConfigurationStamps(peerStamp, localStamp) < 0) this.announceConfiguration()
+    else if (this._options.fetchGuard.tryBeginFetch(peerStamp, localStamp)) this.send({ kind: 'configurationWanted', ...localStamp })
   }
 
   private _answerRefresh (request: ConfigurationStamp & { readonly id: number }): void {
--- a/src/services/facts/test/peerLink.test.ts
+++ b/src/services/facts/test/peerLink.test.ts
@@ -7,7 +7,7 @@
 import { FrameConnection } from '../../../base/node/frameConnection.ts'
 import { ConfigurationSchema } from '../../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { ConfigurationService } from '../../configuration/common/configurationService.ts'
-import { FetchGuard } from '../../configuration/common/fetchGuard.ts'
+import { FetchDeduplicator } from '../../configuration/common/fetchDeduplicator.ts'
 import { LogService } from '../../log/node/logger.ts'
 import type { Fact } from '../common/fact.ts'
 import { FactStore } from '../common/factStore.ts'
@@ -26,7 +26,7 @@
     connection: new FrameConnection(socket),
     facts,
     configuration,
-    fetchGuard: new FetchGuard(clock),
+    fetchGuard: new FetchDeduplicator(clock),
     log: new LogService({ program: 'test', silent: true }),
     hello: { kind: 'hello', role: 'steward', address, hall: 'h' },
     mayShareConfiguration: () => true
--- a/src/services/membership/node/fleetMember.ts
+++ b/src/services/membership/node/fleetMember.ts
@@ -8,11 +8,11 @@
 import { Emitter } from '../../../base/common/event.ts'
 import type { IRandom } from '../../../base/common/random.ts'
 import { startInterval, waitFor } from '../../../base/node/interval.ts'
-import { formatNumber } from '../../configuration/common/configurationNumber.ts'
+import { formatConfigurationNumber } from '../../configuration/common/configurationNumber.ts'
 import { ConfigurationService } from '../../configuration/common/configurationService.ts'
 import type { AcceptedConfiguration } from '../../configuration/common/configurationService.ts'
 import type { ConfigurationText } from '../../configuration/common/configurationDocument.ts'
-import { FetchGuard } from '../../configuration/common/fetchGuard.ts'
+import { FetchDeduplicator } from '../../configuration/common/fetchDeduplicator.ts'
 import { FactStore } from '../../facts/common/factStore.ts'
 import type { StoredFact } from '../../facts/common/factStore.ts'
 import { PeerLink, sumTraffic } from '../../facts/node/peerLink.ts'
@@ -95,7 +95,7 @@
   readonly membership: MembershipTable
   readonly gossip: GossipService
   private readonly _options: FleetMemberOptions
-  private readonly _fetchGuard: FetchGuard
+  private readonly _fetchGuard: FetchDeduplicator
   private readonly _acceptedLinks = new Set<PeerLink>()
   private _closedTraffic: LinkTraffic = { sent: 0, received: 0 }
   private _isReady = false
@@ -110,7 +110,7 @@
     const { clock, random } = options
     this.facts = this._register(new FactStore(clock))
     this.configuration = this._register(new ConfigurationService(clock))
-    this._fetchGuard = new FetchGuard(clock)
+    this._fetchGuard = new FetchDeduplicator(clock)
     this.membership = this._register(new MembershipTable({ ...options, facts: this.facts }))
     this.gossip = this._register(new GossipService({
       clock,
@@ -201,7 +201,7 @@
     if (this._isReady || this._isDisposed) return
     const { log, address, hall } = this._options
     this._isReady = true
-    log.info('ready', { address, hall, configuration: formatNumber(this.configuration.number), reason })
+    log.info('ready', { address, hall, configuration: formatConfigurationNumber(this.configuration.number), reason })
     this._announceConfiguration(CHANGE_ANNOUNCE_FANOUT)
   }
 
@@ -270,7 +270,7 @@
   }
 
   private _handleAcceptedConfiguration (accepted: AcceptedConfiguration): void {
-    this._options.log.info('configuration_accepted', { number: formatNumber(accepted.number), source: accepted.source })
+    this._options.log.info('configuration_accepted', { number: formatConfigurationNumber(accepted.number), source: accepted.source })
     this._announceConfiguration(CHANGE_ANNOUNCE_FANOUT)
   }
 
--- a/src/services/pause/node/pauseRecovery.ts
+++ b/src/services/pause/node/pauseRecovery.ts
@@ -43,7 +43,7 @@
     detector.checkClocks()
     const { timeOfDayJumpMs } = detector
     if (timeOfDayJumpMs === 0 || Math.abs(gainMs - timeOfDayJumpMs) > CLOCK_TOLERANCE_MS) return
-    clock.addSuspended(timeOfDayJumpMs)
+    clock.addSuspendedTime(timeOfDayJumpMs)
     detector.clearTimeOfDayJump()
     log.warn('suspended', { for_ms: Math.round(timeOfDayJumpMs), peer_gain_ms: Math.round(gainMs) })
     this.checkForPause()
--- a/src/services/pause/test/pauseRecovery.test.ts
+++ b/src/services/pause/test/pauseRecovery.test.ts
@@ -48,7 +48,7 @@
     this._timeOfDay += ms
     // The wall time includes the suspension already, so what is added to the monotonic clock is subtracted from the offset.
     const before = this.own.now()
-    this.own.addSuspended = added => {
+    this.own.addSuspendedTime = added => {
       this.own.advance(added)
       this._timeOfDay -= this.own.now() - before
     }
--- a/src/services/quota/test/quotaService.test.ts
+++ b/src/services/quota/test/quotaService.test.ts
@@ -83,7 +83,7 @@
 }))
 
 test('quota for an upstream without a limit is granted without a query to the owner', () => runFleet(() => undefined, async ([node], relay) => {
-  relay.cut()
+  relay.blockTraffic()
   assert.ok(node !== undefined && await node.acquire(UPSTREAM, 'r'))
 }))
 
--- a/src/services/relay/test/fakes.ts
+++ b/src/services/relay/test/fakes.ts
@@ -197,7 +197,7 @@
     }))
     const quarantine = this._register(new QuarantineService({ clock, log, facts, registry: this.registry, node: 'n', incarnation: 1 }))
     const limits = this._register(new RateLimitService({ clock, log, facts, node: 'n', incarnation: 1 }))
-    const statements = this._register(new NodeStatements({ clock, log, registry: this.registry, noteRate: (upstream, perS) => limits.recordLimit(upstream, perS) }))
+    const statements = this._register(new NodeStatements({ clock, log, registry: this.registry, recordRateLimit: (upstream, perS) => limits.recordLimit(upstream, perS) }))
     const { backoffs, guard } = statements
     const stated = new StatedLimits(upstream => limits.findLimit(upstream))
     const links = this._register(new CoordinatorLinks({ clock, log }))
@@ -216,7 +216,7 @@
         pool: new RelayPool({ clock, registry: this.registry, router: new RoundRobinRouter(), createHealth: () => new AlwaysHealthyTracker(), countNodes: () => 1, hasTerminated: id => quarantine.hasEnded(id), quota, backoffs }),
         guard,
         backoffs,
-        recordStatements: stated => statements.note(stated),
+        recordStatements: stated => statements.recordStatements(stated),
         quota,
         retry: new RetryBudget({ maxBalance: _options.retries ?? 10 }),
         preparation: _options.preparation ?? FAILING_PREPARATION,
--- a/src/services/retry/common/windowedRetryBudget.ts
+++ b/src/services/retry/common/windowedRetryBudget.ts
@@ -3,7 +3,7 @@
  * that runs that are lost together can be retried together, before their deadlines pass.
  */
 import type { IClock } from '../../../base/common/clock.ts'
-import { SlidingCount } from '../../../base/common/slidingCount.ts'
+import { SlidingWindowCounter } from '../../../base/common/slidingWindowCounter.ts'
 import { RetryPolicy } from './retryPolicy.ts'
 
 export interface WindowedRetryBudgetOptions {
@@ -22,12 +22,12 @@
   private readonly _options: WindowedRetryBudgetOptions
   /** The number of first attempts by role and index of the slice. */
   private readonly _firstAttempts = new Map<string, Map<number, number>>()
-  private readonly _retries: SlidingCount
+  private readonly _retries: SlidingWindowCounter
 
   constructor (options: WindowedRetryBudgetOptions) {
     super()
     this._options = options
-    this._retries = new SlidingCount(options.windowMs)
+    this._retries = new SlidingWindowCounter(options.windowMs)
   }
 
   recordFirstAttempt (role: string): void {
--- a/src/steward/steward.ts
+++ b/src/steward/steward.ts
@@ -106,10 +106,10 @@
     const reader = new PlatformReader({
       addresses: settings.platform,
       localAddress: settings.local_ip,
-      onDidCall: isOk => calls.inc({ result: isOk ? 'ok' : 'failed' })
+      onDidCompleteCall: isOk => calls.inc({ result: isOk ? 'ok' : 'failed' })
     })
     const isOnDuty = () => isPlatformWatcher(settings.hall, settings.address, this._member.membership.listLive())
-    return this._register(new ValueWatcher({ reader, key, log, isOnDuty, onDidRead }))
+    return this._register(new ValueWatcher({ reader, key, log, shouldWatch: isOnDuty, onDidRead }))
   }
 
   private _takeHosts (value: PlatformValue): void {
