--- a/src/entryNode/nodeStatements.ts
+++ b/src/entryNode/nodeStatements.ts
@@ -36,7 +36,7 @@
   constructor (options: NodeStatementsOptions) {
     super()
     this._options = options
-    const { registry, recordRateLimit: recordRateLimit } = options
+    const { registry, recordRateLimit } = options
     this.backoffs = this._register(new BackoffService(options))
     this.guard = new SendGuard({ ...options, backoffs: this.backoffs })
     this._receivers = {
--- a/src/services/pipeline/node/stageRunner.ts
+++ b/src/services/pipeline/node/stageRunner.ts
@@ -197,7 +197,7 @@
 
   private _recordOutcome (job: StageJob, slot: StageSlot, attemptId: string, outcome: UpstreamOutcome, progress: StageProgress): Effect.Effect<void> {
     return Effect.sync(() => {
-      const { clock, onDidEndAttempt, onDidReportLeaving: onDidReportLeaving } = this._options
+      const { clock, onDidEndAttempt, onDidReportLeaving } = this._options
       const now = clock.now()
       const upstream = slot.view.upstream.name
       const log = job.run.attemptLog
