--- a/src/client/answerReader.ts
+++ b/src/client/answerReader.ts
@@ -1,5 +1,5 @@
 /**
- * Puts an answer together from its numbered chunks. A part is never handed over as the whole.
+ * Assembles an answer from its numbered chunks. A partial answer is never reported as complete.
  */
 import { hashSha256 } from '../base/node/digest.ts'
 import { Execution } from '../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -7,6 +7,7 @@
 import { ClientError, createClientError } from './clientError.ts'
 import type { ClientExecution } from './clientError.ts'
 
+/** A complete answer, with its digest verified. */
 export interface WholeAnswer {
   readonly requestId: string
   readonly text: string
@@ -17,12 +18,12 @@
   readonly chunkCount: number
 }
 
-/** What an event made of the answer. */
+/** State of the answer after an event. */
 export type ReaderState =
   | { readonly kind: 'open' }
   | { readonly kind: 'whole', readonly text: string, readonly costs: readonly StageCost[] }
   | { readonly kind: 'refused', readonly error: ClientError, readonly gates: readonly GateAddress[] }
-  /** The stream cannot be trusted; attach anew. */
+  /** The stream is inconsistent; the client has to reattach. */
   | { readonly kind: 'broken', readonly reason: string }
 
 const EXECUTIONS: Readonly<Record<Execution, ClientExecution>> = {
@@ -56,34 +57,34 @@
     return this._chunks.length
   }
 
-  /** The newest checkpoint of the request. */
+  /** The latest checkpoint of the request. */
   get checkpoint (): Uint8Array | undefined {
     return this._checkpoint
   }
 
-  take (answer: AnswerEvent): ReaderState {
+  accept (answer: AnswerEvent): ReaderState {
     const { event } = answer
     switch (event.case) {
       case 'accepted':
         if (event.value.requestId === this._requestId) return { kind: 'open' }
-        return { kind: 'broken', reason: `the answer is for ${event.value.requestId}` }
+        return { kind: 'broken', reason: `the answer is for request ${event.value.requestId}` }
       case 'chunk':
-        return this._takeChunk(event.value.index, event.value.text)
+        return this._acceptChunk(event.value.index, event.value.text)
       case 'checkpoint':
         this._checkpoint = event.value.sealed
         return { kind: 'open' }
       case 'end':
-        return this._takeEnd(event.value.chunkCount, event.value.digest, event.value.costs)
+        return this._acceptEnd(event.value.chunkCount, event.value.digest, event.value.costs)
       case 'refusal':
         return { kind: 'refused', error: readRefusal(event.value), gates: event.value.gates }
       default:
-        return { kind: 'broken', reason: 'an event without content' }
+        return { kind: 'broken', reason: 'the event has no content' }
     }
   }
 
-  /** Chunks that came before, on another connection, are skipped; a gap breaks the stream. */
-  private _takeChunk (index: number, text: string): ReaderState {
-    if (index > this._chunks.length) return { kind: 'broken', reason: `chunk ${index} came before chunk ${this._chunks.length}` }
+  /** Skips chunks that were already received on an earlier connection; a gap breaks the stream. */
+  private _acceptChunk (index: number, text: string): ReaderState {
+    if (index > this._chunks.length) return { kind: 'broken', reason: `received chunk ${index}, expected chunk ${this._chunks.length}` }
     if (index === this._chunks.length) {
       this._chunks.push(text)
       this._onText(text)
@@ -91,10 +92,10 @@
     return { kind: 'open' }
   }
 
-  private _takeEnd (count: number, digest: string, costs: readonly StageCost[]): ReaderState {
+  private _acceptEnd (count: number, digest: string, costs: readonly StageCost[]): ReaderState {
     const text = this._chunks.join('')
     if (count !== this._chunks.length || digest !== hashSha256(text)) {
-      const message = `the end counts ${count} chunks, ${this._chunks.length} came, or the digest differs`
+      const message = `expected ${count} chunks, received ${this._chunks.length}, or the digest differs`
       return { kind: 'refused', error: createClientError('answerTorn', message, 'mayHaveRun'), gates: [] }
     }
     return { kind: 'whole', text, costs }
--- a/src/client/clientError.ts
+++ b/src/client/clientError.ts
@@ -1,10 +1,10 @@
 /**
- * Why a caller got no whole answer.
+ * Errors that the client library returns when it has no complete answer.
  */
 import type { StageCost } from '../generated/pepperwood/v1/pepperwood_pb.ts'
 import { resultCodes } from '../services/result/common/resultCodes.ts'
 
-/** What is known of the request's work; `notRun` means that no stage was ever sent. */
+/** Whether the request was executed, as far as is known; `notRun` means that no stage was ever sent to an upstream. */
 export type ClientExecution = 'notRun' | 'mayHaveRun' | 'incomplete'
 
 export interface ClientErrorOptions {
@@ -14,10 +14,10 @@
   readonly execution: ClientExecution
   readonly place?: string
   readonly value?: string
-  /** When to come back; 0 means at once. */
+  /** Delay before a retry, in milliseconds; 0 allows an immediate retry. */
   readonly retryAfterMs?: number
   readonly costs?: readonly StageCost[]
-  /** Continues repeatable work. */
+  /** Lets a repeatable request resume after its completed stages; pass it to the next submission. */
   readonly checkpoint?: Uint8Array
 }
 
@@ -51,7 +51,7 @@
   }
 }
 
-/** An error that the client itself found. */
+/** Creates an error that was detected by the client itself. */
 export function createClientError (resultName: keyof typeof resultCodes, message: string, execution: ClientExecution): ClientError {
   return new ClientError({ code: resultCodes[resultName], resultName, message, execution })
 }
--- a/src/client/gateDirectory.ts
+++ b/src/client/gateDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Which gates to use: asks the system, and keeps the answer for as long as it says.
+ * Determines which gates to use: asks a gate and caches the answer for the time that the answer gives.
  */
 import { Agent } from 'node:http'
 import { createClient } from '@connectrpc/connect'
@@ -13,7 +13,7 @@
 export type GateClient = Client<typeof RequestService>
 
 export interface GateDirectoryOptions {
-  /** Addresses to ask first. */
+  /** Addresses of gates to ask first. */
   readonly entries: readonly string[]
   readonly customer: string
   readonly clock: IClock
@@ -21,31 +21,31 @@
   readonly locateTimeoutMs?: number
 }
 
-/** A gate that could not be reached is left alone for so long. */
-const AVOID_MS = 2000
+/** How long the client backs off from a gate that could not be reached. */
+const UNREACHABLE_BACKOFF_MS = 2000
 
 export class GateDirectory {
   private readonly _options: GateDirectoryOptions
   private readonly _agent = new Agent({ keepAlive: true })
   private readonly _clients = new Map<string, GateClient>()
-  private readonly _avoidUntil = new Map<string, number>()
+  private readonly _backoffUntil = new Map<string, number>()
   private _gates: readonly string[] = []
-  private _keepUntil = -Infinity
-  private _nextEntry = 0
-  private _locating: Promise<void> | undefined
-  private _seen: ConfigurationNumber = NO_CONFIGURATION
+  private _gatesValidUntil = -Infinity
+  private _nextEntryIndex = 0
+  private _pendingLocate: Promise<void> | undefined
+  private _seenConfiguration: ConfigurationNumber = NO_CONFIGURATION
 
   constructor (options: GateDirectoryOptions) {
     this._options = options
   }
 
-  /** The highest configuration that any answer named. */
+  /** The highest configuration number in any answer so far. */
   get seenConfiguration (): ConfigurationNumber {
-    return this._seen
+    return this._seenConfiguration
   }
 
-  noteConfiguration (number: ConfigurationNumber | undefined): void {
-    if (number !== undefined && compareConfigurationNumbers(number, this._seen) > 0) this._seen = { epoch: number.epoch, version: number.version }
+  recordConfiguration (number: ConfigurationNumber | undefined): void {
+    if (number !== undefined && compareConfigurationNumbers(number, this._seenConfiguration) > 0) this._seenConfiguration = { epoch: number.epoch, version: number.version }
   }
 
   getClient (address: string): GateClient {
@@ -62,27 +62,27 @@
     return client
   }
 
-  /** Gates in the order in which they should be tried now. */
+  /** Returns the gates in the order in which they should be tried; those under backoff come last. */
   async list (): Promise<readonly string[]> {
     const now = this._options.clock.now()
-    if (now >= this._keepUntil) {
-      this._locating ??= this._locate().finally(() => { this._locating = undefined })
-      await this._locating
+    if (now >= this._gatesValidUntil) {
+      this._pendingLocate ??= this._locate().finally(() => { this._pendingLocate = undefined })
+      await this._pendingLocate
     }
-    const known = this._gates.length > 0 ? this._gates : this._options.entries
-    const isAvoided = (address: string) => (this._avoidUntil.get(address) ?? 0) > now
-    return [...known.filter(address => !isAvoided(address)), ...known.filter(isAvoided)]
+    const candidates = this._gates.length > 0 ? this._gates : this._options.entries
+    const isBackedOff = (address: string) => (this._backoffUntil.get(address) ?? 0) > now
+    return [...candidates.filter(address => !isBackedOff(address)), ...candidates.filter(isBackedOff)]
   }
 
-  /** Takes in that a gate named others to use instead. */
-  suggest (addresses: readonly string[]): void {
+  /** Replaces the known gates by those that a gate recommended; an empty list is ignored. */
+  updateGates (addresses: readonly string[]): void {
     if (addresses.length > 0) this._gates = addresses
   }
 
-  /** Takes in that a gate could not be reached. */
-  avoid (address: string): void {
-    this._avoidUntil.set(address, this._options.clock.now() + AVOID_MS)
-    if (this._gates[0] === address) this._keepUntil = -Infinity
+  /** Starts a backoff for the gate. If it was the preferred gate, the next call of `list` asks for gates again. */
+  markUnreachable (address: string): void {
+    this._backoffUntil.set(address, this._options.clock.now() + UNREACHABLE_BACKOFF_MS)
+    if (this._gates[0] === address) this._gatesValidUntil = -Infinity
   }
 
   dispose (): void {
@@ -91,19 +91,19 @@
 
   private async _locate (): Promise<void> {
     const { entries, customer, clock } = this._options
-    const asked = [...new Set([...entries.slice(this._nextEntry), ...entries.slice(0, this._nextEntry), ...this._gates])]
-    for (const address of asked) {
-      if ((this._avoidUntil.get(address) ?? 0) > clock.now()) continue
+    const candidates = [...new Set([...entries.slice(this._nextEntryIndex), ...entries.slice(0, this._nextEntryIndex), ...this._gates])]
+    for (const address of candidates) {
+      if ((this._backoffUntil.get(address) ?? 0) > clock.now()) continue
       try {
-        const answer = await this.getClient(address).locate({ customer, seenConfiguration: this._seen }, { timeoutMs: this._options.locateTimeoutMs ?? 500 })
-        this.noteConfiguration(answer.configuration)
+        const answer = await this.getClient(address).locate({ customer, seenConfiguration: this._seenConfiguration }, { timeoutMs: this._options.locateTimeoutMs ?? 500 })
+        this.recordConfiguration(answer.configuration)
         if (answer.gates.length === 0) continue
         this._gates = answer.gates.map(gate => gate.address)
-        this._keepUntil = clock.now() + (answer.gates[0]?.keepMs ?? 0)
+        this._gatesValidUntil = clock.now() + (answer.gates[0]?.keepMs ?? 0)
         return
       } catch {
-        this._avoidUntil.set(address, clock.now() + AVOID_MS)
-        this._nextEntry = (entries.indexOf(address) + 1) % entries.length
+        this._backoffUntil.set(address, clock.now() + UNREACHABLE_BACKOFF_MS)
+        this._nextEntryIndex = (entries.indexOf(address) + 1) % entries.length
       }
     }
   }
--- a/src/client/pepperwoodClient.ts
+++ b/src/client/pepperwoodClient.ts
@@ -1,8 +1,9 @@
 /**
- * The client library: finds a gate, opens a session, submits, and hands over a whole answer or a typed error.
+ * The client library: finds a gate, opens a session, submits a request and returns a complete answer or a typed error.
  *
- * A request that was sent is asked for again at its home, under its number, where it can only be attached to. Only when
- * its home is gone, and only if it is repeatable, it goes elsewhere as a new request with the newest checkpoint.
+ * After a broken connection the client resubmits the request to its home gate under the same number, which attaches it
+ * to the existing run and never starts a second one. Once the home gate is lost, a request that may have run is
+ * resubmitted as a new request, with its latest checkpoint, only if it is repeatable.
  */
 import { Code, ConnectError } from '@connectrpc/connect'
 import { Left, Right } from 'purify-ts'
@@ -16,7 +17,7 @@
 import type { ClientError } from './clientError.ts'
 import { createClientError } from './clientError.ts'
 import { GateDirectory } from './gateDirectory.ts'
-import { maySubmitAnew } from './resubmission.ts'
+import { canResubmit } from './resubmission.ts'
 
 export interface PepperwoodClientOptions {
   /** Addresses of gates to ask first. */
@@ -24,11 +25,11 @@
   readonly customer: string
   readonly key: string
   readonly clock?: IClock
-  /** The address that connections leave from. */
+  /** Source IP address of outgoing connections. */
   readonly localAddress?: string
-  /** Silence after which the home is asked whether it still lives. */
+  /** How long a stream may be silent before the home gate is probed, in milliseconds. */
   readonly maxSilenceMs?: number
-  /** How often a repeatable request is submitted anew. */
+  /** How many times a request may be resubmitted as a new request. */
   readonly maxResubmissions?: number
 }
 
@@ -37,26 +38,27 @@
   readonly input: string
   readonly deadlineMs: number
   readonly unrepeatable?: boolean
-  /** Text as it arrives. It is void unless the whole answer follows. */
+  /** Called with text as it arrives. The text is invalid unless `submit` returns the complete answer. */
   readonly onText?: (text: string) => void
-  /** The request is submitted anew: what came of its text before is void. */
+  /** Called when the request is resubmitted: text received so far must be discarded. */
   readonly onRestart?: () => void
+  /** Checkpoint of an earlier submission from which to resume. */
   readonly checkpoint?: Uint8Array
   readonly signal?: AbortSignal
 }
 
-class HeldSession {
+class CachedSession {
   nextNumber = 1
 
   constructor (readonly session: Session, readonly expiresAt: number) {}
 }
 
-/** One submission of a request under one session and number. */
+/** A submission of a request under one session and number. */
 interface Submission {
-  readonly held: HeldSession
+  readonly cachedSession: CachedSession
   readonly number: number
   readonly reader: AnswerReader
-  /** When the first text came, on the client's clock; 0 before. */
+  /** When the first text was received, on the client's clock; 0 before that. */
   readonly firstChunk: { readonly at: number }
 }
 
@@ -64,39 +66,39 @@
 type RefusedState = Extract<ReaderState, { readonly kind: 'refused' }>
 type FinalState = Extract<ReaderState, { readonly kind: 'whole' | 'refused' }>
 
-/** How one try to get the answer ended. */
-type TryEnd =
+/** How a connection for a submission ended. */
+type ConnectionOutcome =
   | Exclude<ReaderState, { readonly kind: 'open' }>
-  /** The gate cannot be reached at all. */
+  /** The gate refused the connection or did not answer probes. */
   | { readonly kind: 'unreachable' }
 
-const EXPIRY_MARGIN_MS = 5000
-const REATTACH_WAIT_MS = 50
-/** An answer that the gate gave at the deadline is still on its way for so long. */
+const SESSION_EXPIRY_MARGIN_MS = 5000
+const REATTACH_DELAY_MS = 50
+/** Extra time for an answer that the gate sent at the deadline to arrive. */
 const DEADLINE_GRACE_MS = 100
 const MAX_CONNECT_FAILURES = 3
-/** Requests take turns over so many of the gates named best. */
-const SPREAD_COUNT = 3
+/** Requests rotate over this many of the best gates. */
+const ROTATED_GATE_COUNT = 3
 
 export class PepperwoodClient {
   private readonly _options: PepperwoodClientOptions
   private readonly _clock: IClock
-  private readonly _gates: GateDirectory
-  private readonly _sessions = new Map<string, HeldSession>()
-  private _nextGate = 0
-  private readonly _opening = new Map<string, Promise<Either<ClientError, HeldSession>>>()
+  private readonly _gateDirectory: GateDirectory
+  private readonly _sessions = new Map<string, CachedSession>()
+  private _rotation = 0
+  private readonly _pendingSessions = new Map<string, Promise<Either<ClientError, CachedSession>>>()
 
   constructor (options: PepperwoodClientOptions) {
     this._options = options
     this._clock = options.clock ?? new SystemClock()
-    this._gates = new GateDirectory({ ...options, clock: this._clock })
+    this._gateDirectory = new GateDirectory({ ...options, clock: this._clock })
   }
 
   async submit (options: SubmitOptions): Promise<Either<ClientError, WholeAnswer>> {
     const startedAt = this._clock.now()
     const deadlineAt = startedAt + options.deadlineMs
     let checkpoint = options.checkpoint
-    let lastError = createClientError('deadlinePassed', 'no gate took the request in time', 'notRun')
+    let lastError = createClientError('deadlinePassed', 'no gate accepted the request before the deadline', 'notRun')
     let resubmissions = 0
     let mayHaveRun = false
     for (let failures = 0; failures < MAX_CONNECT_FAILURES && this._clock.now() < deadlineAt && options.signal?.aborted !== true;) {
@@ -107,36 +109,36 @@
         failures++
         continue
       }
-      const held = opened.unsafeCoerce()
+      const cachedSession = opened.unsafeCoerce()
       if (resubmissions > 0) options.onRestart?.()
-      const submission = this._createSubmission(held, options)
-      const end = await this._follow(submission, options, checkpoint, deadlineAt)
-      if (end.kind === 'whole') return Right(this._createWhole(submission, end, startedAt))
+      const submission = this._createSubmission(cachedSession, options)
+      const end = await this._followSubmission(submission, options, checkpoint, deadlineAt)
+      if (end.kind === 'whole') return Right(this._createAnswer(submission, end, startedAt))
       lastError = end.error
       checkpoint = submission.reader.checkpoint ?? checkpoint
       if (lastError.execution !== 'notRun') mayHaveRun = true
-      if (!maySubmitAnew({ error: lastError, isUnrepeatable: isUnrepeatable(options, held), mayHaveRun }) || resubmissions++ >= (this._options.maxResubmissions ?? 2)) break
+      if (!canResubmit({ error: lastError, isUnrepeatable: isUnrepeatable(options, cachedSession), mayHaveRun }) || resubmissions++ >= (this._options.maxResubmissions ?? 2)) break
       if (lastError.resultName === 'checkpointInvalid') checkpoint = undefined
-      const waitMs = Math.min(lastError.retryAfterMs, REATTACH_WAIT_MS)
+      const waitMs = Math.min(lastError.retryAfterMs, REATTACH_DELAY_MS)
       if (waitMs > 0) await waitFor(waitMs)
     }
     return Left(mayHaveRun && lastError.execution === 'notRun' ? createClientError('outcomeUnknown', lastError.message, 'mayHaveRun') : lastError)
   }
 
-  private _createSubmission (held: HeldSession, options: SubmitOptions): Submission {
-    const number = held.nextNumber++
+  private _createSubmission (cachedSession: CachedSession, options: SubmitOptions): Submission {
+    const number = cachedSession.nextNumber++
     const firstChunk = { at: 0 }
-    const reader = new AnswerReader(`${held.session.id}/${number}`, text => {
+    const reader = new AnswerReader(`${cachedSession.session.id}/${number}`, text => {
       if (firstChunk.at === 0) firstChunk.at = this._clock.now()
       options.onText?.(text)
     })
-    return { held, number, reader, firstChunk }
+    return { cachedSession, number, reader, firstChunk }
   }
 
-  private _createWhole (submission: Submission, end: WholeState, startedAt: number): WholeAnswer {
-    const { held, number, reader, firstChunk } = submission
+  private _createAnswer (submission: Submission, end: WholeState, startedAt: number): WholeAnswer {
+    const { cachedSession, number, reader, firstChunk } = submission
     return {
-      requestId: `${held.session.id}/${number}`,
+      requestId: `${cachedSession.session.id}/${number}`,
       text: end.text,
       costs: end.costs,
       firstChunkMs: firstChunk.at - startedAt,
@@ -145,52 +147,52 @@
     }
   }
 
-  /** Stops nothing that runs; only connections are given up. */
+  /** Closes connections; requests that are running continue. */
   dispose (): void {
-    this._gates.dispose()
+    this._gateDirectory.dispose()
   }
 
-  /** Follows one submission until the answer is whole, refused, or its home is gone. */
-  private async _follow (submission: Submission, options: SubmitOptions, checkpoint: Uint8Array | undefined, deadlineAt: number): Promise<FinalState> {
-    const home = submission.held.session.home
+  /** Follows a submission until it is answered or refused, its home gate cannot be reached, or the deadline passes. */
+  private async _followSubmission (submission: Submission, options: SubmitOptions, checkpoint: Uint8Array | undefined, deadlineAt: number): Promise<FinalState> {
+    const home = submission.cachedSession.session.home
     let wasSent = false
     while (this._clock.now() < deadlineAt + DEADLINE_GRACE_MS && options.signal?.aborted !== true) {
-      const end = await this._try(submission, options, checkpoint, deadlineAt, () => { wasSent = true })
+      const end = await this._submitOnce(submission, options, checkpoint, deadlineAt, () => { wasSent = true })
       if (end.kind === 'whole') return end
-      if (end.kind === 'refused') return this._takeRefusal(submission, end, wasSent)
+      if (end.kind === 'refused') return this._processRefusal(submission, end, wasSent)
       if (end.kind === 'unreachable') {
-        this._leave(home)
-        // What was never sent is free to go elsewhere; what was sent to a home that is gone may have run.
-        return refuse(createClientError(wasSent ? 'outcomeUnknown' : 'upstreamUnreachable', `${home} cannot be reached`, wasSent ? 'mayHaveRun' : 'notRun'))
+        this._abandonGate(home)
+        // A request that was never sent can be submitted to another gate; one sent to a lost home gate may have run.
+        return createRefusedState(createClientError(wasSent ? 'outcomeUnknown' : 'upstreamUnreachable', `${home} cannot be reached`, wasSent ? 'mayHaveRun' : 'notRun'))
       }
-      await waitFor(REATTACH_WAIT_MS)
+      await waitFor(REATTACH_DELAY_MS)
     }
     const isAborted = options.signal?.aborted === true
-    if (isAborted && wasSent) await this._cancel(submission)
-    return refuse(createClientError(isAborted ? 'cancelled' : 'deadlinePassed', isAborted ? 'given up by the caller' : 'the deadline has passed', wasSent ? 'mayHaveRun' : 'notRun'))
+    if (isAborted && wasSent) await this._cancelSubmission(submission)
+    return createRefusedState(createClientError(isAborted ? 'cancelled' : 'deadlinePassed', isAborted ? 'cancelled by the caller' : 'the deadline has passed', wasSent ? 'mayHaveRun' : 'notRun'))
   }
 
-  private _takeRefusal (submission: Submission, end: RefusedState, wasSent: boolean): RefusedState {
-    const { session } = submission.held
-    this._gates.suggest(end.gates.map(gate => gate.address))
+  private _processRefusal (submission: Submission, end: RefusedState, wasSent: boolean): RefusedState {
+    const { session } = submission.cachedSession
+    this._gateDirectory.updateGates(end.gates.map(gate => gate.address))
     if (end.error.resultName === 'gateDraining' || end.error.resultName === 'sessionUnknown' || end.error.resultName === 'sessionOutdated') this._sessions.delete(session.home)
-    // A gate that does not know the session cannot have run this first submission of the number; one sent before may have run.
-    if (end.error.resultName === 'sessionUnknown' && !wasSent) return refuse(createClientError('sessionUnknown', end.error.message, 'notRun'))
+    // A gate without the session cannot have run this submission if it is the first under its number; one sent before may have run.
+    if (end.error.resultName === 'sessionUnknown' && !wasSent) return createRefusedState(createClientError('sessionUnknown', end.error.message, 'notRun'))
     return end
   }
 
-  /** One connection: submits, or attaches where the request was sent before. */
-  private async _try (submission: Submission, options: SubmitOptions, checkpoint: Uint8Array | undefined, deadlineAt: number, onSent: () => void): Promise<TryEnd> {
-    const { held, number, reader } = submission
-    const { id: session, home, incarnation } = held.session
+  /** Submits the request over one connection. The gate attaches it to the existing run if it was sent before. */
+  private async _submitOnce (submission: Submission, options: SubmitOptions, checkpoint: Uint8Array | undefined, deadlineAt: number, onSent: () => void): Promise<ConnectionOutcome> {
+    const { cachedSession, number, reader } = submission
+    const { id: session, home, incarnation } = cachedSession.session
     const abort = new AbortController()
     const onAbort = () => abort.abort()
     options.signal?.addEventListener('abort', onAbort, { once: true })
     const timeLeftMs = Math.max(1, Math.round(deadlineAt - this._clock.now()))
-    const deadline = setTimeout(onAbort, timeLeftMs + DEADLINE_GRACE_MS)
-    const watch = this._watchSilence(home, !isUnrepeatable(options, held), () => abort.abort())
+    const deadlineTimer = setTimeout(onAbort, timeLeftMs + DEADLINE_GRACE_MS)
+    const livenessWatch = this._watchLiveness(home, !isUnrepeatable(options, cachedSession), () => abort.abort())
     try {
-      const stream = this._gates.getClient(home).submit({
+      const stream = this._gateDirectory.getClient(home).submit({
         session,
         home,
         incarnation,
@@ -200,52 +202,52 @@
         timeLeftMs,
         unrepeatable: options.unrepeatable ?? false,
         checkpoint,
-        seenConfiguration: this._gates.seenConfiguration
+        seenConfiguration: this._gateDirectory.seenConfiguration
       }, { signal: abort.signal })
-      let end: TryEnd = { kind: 'broken', reason: 'the stream ended early' }
+      let end: ConnectionOutcome = { kind: 'broken', reason: 'the stream ended early' }
       for await (const event of stream) {
-        watch.reset()
-        if (event.event.case === 'accepted') this._gates.noteConfiguration(event.event.value.configuration)
-        const state = reader.take(event)
+        livenessWatch.reset()
+        if (event.event.case === 'accepted') this._gateDirectory.recordConfiguration(event.event.value.configuration)
+        const state = reader.accept(event)
         if (state.kind !== 'refused') onSent()
         if (state.kind === 'broken') return state
-        // The stream is read to its end even so, which leaves the connection fit for the next request.
+        // Reads the stream to its end even after the final event, so that the connection can be reused.
         if (state.kind !== 'open') end = state
       }
       return end
     } catch (thrown) {
-      if (isNeverSent(thrown)) return { kind: 'unreachable' }
+      if (isConnectFailure(thrown)) return { kind: 'unreachable' }
       onSent()
-      if (watch.isGone()) return { kind: 'unreachable' }
+      if (livenessWatch.isUnresponsive()) return { kind: 'unreachable' }
       return { kind: 'broken', reason: String(thrown) }
     } finally {
-      clearTimeout(deadline)
-      watch.stop()
+      clearTimeout(deadlineTimer)
+      livenessWatch.stop()
       options.signal?.removeEventListener('abort', onAbort)
     }
   }
 
-  /** Asks a home that stays silent whether it lives; a repeatable request does not wait for one that does not answer. */
-  private _watchSilence (home: string, isRepeatable: boolean, onGone: () => void) {
+  /** Probes the home gate of a repeatable request while its stream is silent, and reports a gate that does not answer. */
+  private _watchLiveness (home: string, isRepeatable: boolean, onUnresponsive: () => void) {
     const maxSilenceMs = this._options.maxSilenceMs ?? 1000
-    let isGone = false
+    let isUnresponsive = false
     let isStopped = false
-    let heardAt = this._clock.now()
+    let lastReceivedAt = this._clock.now()
     const check = async () => {
-      if (this._clock.now() - heardAt < maxSilenceMs || isStopped) return
+      if (this._clock.now() - lastReceivedAt < maxSilenceMs || isStopped) return
       try {
-        await this._gates.getClient(home).locate({ customer: this._options.customer }, { timeoutMs: maxSilenceMs })
-        heardAt = this._clock.now()
+        await this._gateDirectory.getClient(home).locate({ customer: this._options.customer }, { timeoutMs: maxSilenceMs })
+        lastReceivedAt = this._clock.now()
       } catch {
-        if (isStopped || this._clock.now() - heardAt < maxSilenceMs) return
-        isGone = true
-        onGone()
+        if (isStopped || this._clock.now() - lastReceivedAt < maxSilenceMs) return
+        isUnresponsive = true
+        onUnresponsive()
       }
     }
     const timer = isRepeatable ? setInterval(() => { void check() }, maxSilenceMs) : undefined
     return {
-      reset: () => { heardAt = this._clock.now() },
-      isGone: () => isGone,
+      reset: () => { lastReceivedAt = this._clock.now() },
+      isUnresponsive: () => isUnresponsive,
       stop: () => {
         isStopped = true
         clearInterval(timer)
@@ -253,30 +255,30 @@
     }
   }
 
-  private _leave (home: string): void {
+  private _abandonGate (home: string): void {
     this._sessions.delete(home)
-    this._gates.avoid(home)
+    this._gateDirectory.markUnreachable(home)
   }
 
-  private async _cancel (submission: Submission): Promise<void> {
-    const { id: session, home, incarnation } = submission.held.session
+  private async _cancelSubmission (submission: Submission): Promise<void> {
+    const { id: session, home, incarnation } = submission.cachedSession.session
     try {
-      await this._gates.getClient(home).cancel({ session, home, incarnation, number: submission.number }, { timeoutMs: 500 })
+      await this._gateDirectory.getClient(home).cancel({ session, home, incarnation, number: submission.number }, { timeoutMs: 500 })
     } catch {
-      // The home cannot be reached; its own deadline ends the request.
+      // The home gate cannot be reached; the request ends there at its deadline.
     }
   }
 
-  /** A session at the first gate that opens one. */
-  private async _openSession (deadlineAt: number): Promise<Either<ClientError, HeldSession>> {
+  /** Returns a cached session or opens one, at the first gate that has or grants one. */
+  private async _openSession (deadlineAt: number): Promise<Either<ClientError, CachedSession>> {
     let error = createClientError('upstreamUnreachable', 'no gate can be reached', 'notRun')
-    for (const address of rotateFirst(await this._gates.list(), SPREAD_COUNT, this._nextGate++)) {
+    for (const address of rotateFirst(await this._gateDirectory.list(), ROTATED_GATE_COUNT, this._rotation++)) {
       if (this._clock.now() >= deadlineAt) break
-      const held = this._sessions.get(address)
-      if (held !== undefined && held.expiresAt > this._clock.now()) return Right(held)
-      const opening = this._opening.get(address) ?? this._openSessionAt(address).finally(() => this._opening.delete(address))
-      this._opening.set(address, opening)
-      const opened = await opening
+      const cachedSession = this._sessions.get(address)
+      if (cachedSession !== undefined && cachedSession.expiresAt > this._clock.now()) return Right(cachedSession)
+      const pendingSession = this._pendingSessions.get(address) ?? this._openSessionAt(address).finally(() => this._pendingSessions.delete(address))
+      this._pendingSessions.set(address, pendingSession)
+      const opened = await pendingSession
       if (opened.isRight()) return opened
       error = opened.swap().unsafeCoerce()
       if (error.code >= 201 && error.code <= 212) break
@@ -284,45 +286,48 @@
     return Left(error)
   }
 
-  private async _openSessionAt (address: string): Promise<Either<ClientError, HeldSession>> {
+  private async _openSessionAt (address: string): Promise<Either<ClientError, CachedSession>> {
     const { customer, key } = this._options
     try {
-      const answer = await this._gates.getClient(address).openSession({ customer, key, seenConfiguration: this._gates.seenConfiguration }, { timeoutMs: 1000 })
+      const answer = await this._gateDirectory.getClient(address).openSession({ customer, key, seenConfiguration: this._gateDirectory.seenConfiguration }, { timeoutMs: 1000 })
       if (answer.outcome.case === 'refusal') return Left(readRefusal(answer.outcome.value))
-      if (answer.outcome.case !== 'session') return Left(createClientError('internal', 'an answer without outcome', 'notRun'))
+      if (answer.outcome.case !== 'session') return Left(createClientError('internal', 'the answer has no outcome', 'notRun'))
       const session = answer.outcome.value
-      this._gates.noteConfiguration(session.configuration)
-      const held = new HeldSession(session, this._clock.now() + session.expiresInMs - EXPIRY_MARGIN_MS)
-      this._sessions.set(address, held)
-      return Right(held)
+      this._gateDirectory.recordConfiguration(session.configuration)
+      const cachedSession = new CachedSession(session, this._clock.now() + session.expiresInMs - SESSION_EXPIRY_MARGIN_MS)
+      this._sessions.set(address, cachedSession)
+      return Right(cachedSession)
     } catch {
-      this._leave(address)
+      this._abandonGate(address)
       return Left(createClientError('upstreamUnreachable', `${address} cannot be reached`, 'notRun'))
     }
   }
 }
 
-/** The first items in turn, the rest behind them. */
+/** Rotates the first `count` items by `turn` positions; the others follow in their order. */
 export function rotateFirst<T> (items: readonly T[], count: number, turn: number): readonly T[] {
   const first = items.slice(0, count)
   const from = first.length === 0 ? 0 : turn % first.length
   return [...first.slice(from), ...first.slice(0, from), ...items.slice(count)]
 }
 
-/** Whether submitting the request anew could run something twice; what the session does not promise may not be repeated. */
-function isUnrepeatable (options: SubmitOptions, held: HeldSession): boolean {
-  return options.unrepeatable === true || !held.session.repeatablePipelines.includes(options.pipeline)
+/**
+ * Whether resubmitting the request could run a stage twice. A pipeline that the session does not list as repeatable
+ * must not be repeated.
+ */
+function isUnrepeatable (options: SubmitOptions, cachedSession: CachedSession): boolean {
+  return options.unrepeatable === true || !cachedSession.session.repeatablePipelines.includes(options.pipeline)
 }
 
-function refuse (error: ClientError): RefusedState {
+function createRefusedState (error: ClientError): RefusedState {
   return { kind: 'refused', error, gates: [] }
 }
 
-const NEVER_SENT_CODES: ReadonlySet<unknown> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL'])
+const CONNECT_FAILURE_CODES: ReadonlySet<unknown> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL'])
 
-/** Only a connection that never opened says that the request was not sent. */
-function isNeverSent (thrown: unknown): boolean {
+/** Whether the connection was never opened, which is the only proof that the request was not sent. */
+function isConnectFailure (thrown: unknown): boolean {
   const error = ConnectError.from(thrown)
   if (error.code !== Code.Unavailable && error.code !== Code.Unknown && error.code !== Code.Internal) return false
-  return NEVER_SENT_CODES.has((error.cause as { readonly code?: unknown } | undefined)?.code)
+  return CONNECT_FAILURE_CODES.has((error.cause as { readonly code?: unknown } | undefined)?.code)
 }
--- a/src/client/resubmission.ts
+++ b/src/client/resubmission.ts
@@ -1,10 +1,10 @@
 /**
- * Whether a request may be submitted anew, elsewhere or under a new number, after it got no answer.
+ * Decides whether a request without an answer may be resubmitted, at another gate or under a new number.
  */
 import type { ClientError } from './clientError.ts'
 
-/** Results of the request itself: another gate would say the same. */
-const HOPELESS_RESULTS: ReadonlySet<string> = new Set([
+/** Results that depend on the request alone: another gate would return the same. */
+const FINAL_RESULTS: ReadonlySet<string> = new Set([
   'requestInvalid',
   'customerUnknown',
   'keyWrong',
@@ -24,9 +24,9 @@
   readonly mayHaveRun: boolean
 }
 
-/** An unrepeatable request goes elsewhere only while it is certain that nothing of it ran. */
-export function maySubmitAnew (inputs: ResubmissionInputs): boolean {
-  if (HOPELESS_RESULTS.has(inputs.error.resultName)) return false
-  const isCertain = inputs.error.execution === 'notRun' && !inputs.mayHaveRun
-  return isCertain || !inputs.isUnrepeatable
+/** An unrepeatable request may be resubmitted only if it is certain that no stage of it ran. */
+export function canResubmit (inputs: ResubmissionInputs): boolean {
+  if (FINAL_RESULTS.has(inputs.error.resultName)) return false
+  const hasCertainlyNotRun = inputs.error.execution === 'notRun' && !inputs.mayHaveRun
+  return hasCertainlyNotRun || !inputs.isUnrepeatable
 }
--- a/src/client/test/client.test.ts
+++ b/src/client/test/client.test.ts
@@ -6,7 +6,7 @@
 import type { AnswerEvent } from '../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { AnswerReader } from '../answerReader.ts'
 import { rotateFirst } from '../pepperwoodClient.ts'
-import { maySubmitAnew } from '../resubmission.ts'
+import { canResubmit } from '../resubmission.ts'
 
 const test = suite('client')
 
@@ -20,13 +20,13 @@
 
 const whole = [createChunk(0, 'a'), createChunk(1, 'b'), createEnd(2, hashSha256('ab'))]
 
-/** What the last event made of the answer, and the text that was handed over on the way. */
+/** Returns the state of the answer after the last event, and the text that was received. */
 function readAll (events: readonly AnswerEvent[]): readonly [string, string] {
   let text = ''
   const reader = new AnswerReader('s/1', part => { text += part })
   let last = 'open'
   for (const event of events) {
-    last = reader.take(event).kind
+    last = reader.accept(event).kind
     if (last !== 'open') break
   }
   return [last, text]
@@ -35,9 +35,9 @@
 const streams: readonly (readonly [string, readonly AnswerEvent[], string])[] = [
   ['a whole answer', whole, 'whole'],
   ['an empty answer', [createEnd(0, hashSha256(''))], 'whole'],
-  ['chunks that come twice', [createChunk(0, 'a'), createChunk(0, 'a'), ...whole], 'whole'],
+  ['chunks received twice', [createChunk(0, 'a'), createChunk(0, 'a'), ...whole], 'whole'],
   ['a gap', [createChunk(0, 'a'), createChunk(2, 'c')], 'broken'],
-  ['an end that counts more', [createChunk(0, 'a'), createEnd(2, hashSha256('a'))], 'refused'],
+  ['an end event with a higher chunk count', [createChunk(0, 'a'), createEnd(2, hashSha256('a'))], 'refused'],
   ['a digest that differs', [createChunk(0, 'a'), createChunk(1, 'x'), createEnd(2, hashSha256('ab'))], 'refused'],
   ['another request\'s answer', [create(AnswerEventSchema, { event: { case: 'accepted', value: { requestId: 's/2' } } }), ...whole], 'broken'],
   ['an event without content', [create(AnswerEventSchema)], 'broken'],
@@ -52,9 +52,9 @@
   })
 }
 
-test('a refusal keeps what is known of the work', () => {
+test('a refusal keeps its execution state', () => {
   const reader = new AnswerReader('s/1', () => {})
-  const state = reader.take(create(AnswerEventSchema, { event: { case: 'refusal', value: { code: 304, name: 'outcomeUnknown', execution: Execution.MAY_HAVE_RUN } } }))
+  const state = reader.accept(create(AnswerEventSchema, { event: { case: 'refusal', value: { code: 304, name: 'outcomeUnknown', execution: Execution.MAY_HAVE_RUN } } }))
   assert.is(state.kind === 'refused' && state.error.execution, 'mayHaveRun')
 })
 
@@ -67,12 +67,12 @@
   ['pipelineUnknown', 'notRun', false, false, false],
   ['deadlinePassed', 'mayHaveRun', false, true, false]
 ] as const) {
-  test(`${resultName}, ${execution}, ${isUnrepeatable ? 'unrepeatable' : 'repeatable'}${mayHaveRun ? ', may have run' : ''}: ${expected ? 'anew' : 'not again'}`, () => {
-    assert.is(maySubmitAnew({ error: { resultName, execution }, isUnrepeatable, mayHaveRun }), expected)
+  test(`${resultName}, ${execution}, ${isUnrepeatable ? 'unrepeatable' : 'repeatable'}${mayHaveRun ? ', may have run' : ''}: ${expected ? 'resubmitted' : 'not resubmitted'}`, () => {
+    assert.is(canResubmit({ error: { resultName, execution }, isUnrepeatable, mayHaveRun }), expected)
   })
 }
 
-test('requests take turns over the best gates, and the others stay behind them', () => {
+test('requests rotate over the best gates, and the other gates stay behind them', () => {
   const turns = [0, 1, 2, 3].map(turn => rotateFirst(['a', 'b', 'c', 'd'], 3, turn).join(''))
   assert.equal(turns, ['abcd', 'bcad', 'cabd', 'abcd'])
   assert.equal(rotateFirst([], 3, 1), [])
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -1,5 +1,5 @@
 /**
- * A gate: answers which address to use, owns requests, runs their stages and streams their answers.
+ * A gate: tells callers which gates to use, owns requests, runs their stages and streams their answers.
  */
 import { parseAddress } from '../base/common/address.ts'
 import { DecayingCounter } from '../base/common/decayingCounter.ts'
@@ -45,51 +45,52 @@
   readonly clock: IClock
   readonly random: IRandom
   readonly log: ILogService
-  /** Grows with each boot of the host. */
+  /** Increases with each process start at this address. */
   readonly incarnation: number
 }
 
 const SESSION_ID_BYTES = 16
-const SWEEP_PERIOD_MS = 20
-const FORGET_PERIOD_MS = 60_000
-/** How long a request counts as recent when load is compared between gates. */
-const RECENT_MS = 3000
-const FACT_PERIOD_MS = 250
-/** A gate that has nothing new to say of itself speaks so seldom. */
-const FACT_HEARTBEAT_MS = 1500
-/** Requests in progress that came or went since the last fact, as a part of them, that are worth a new one. */
-const FACT_STEP = 0.25
-const CATCH_UP_MS = 500
-const POLL_MS = 20
-/** How long a gate that was paused tries to read the view anew before it goes on with what it has. */
-const REFRESH_PATIENCE_MS = 2000
-/** A stopped gate waits so long that callers can fetch answers which ended last. */
-const LINGER_MS = 1000
+const QUEUE_SWEEP_PERIOD_MS = 20
+const FACT_CLEANUP_PERIOD_MS = 60_000
+/** Decay time of the count of recent requests, by which the load of gates is compared. */
+const RECENT_REQUESTS_MS = 3000
+const ANNOUNCEMENT_CHECK_PERIOD_MS = 250
+/** How often a gate announces itself when its load has not changed. */
+const HEARTBEAT_PERIOD_MS = 1500
+/** Change in the number of requests in progress, relative to the last announcement, that triggers a new one. */
+const MIN_LOAD_CHANGE_RATIO = 0.25
+/** How long a request waits for a configuration that its caller has already seen. */
+const CONFIGURATION_TIMEOUT_MS = 500
+const POLL_INTERVAL_MS = 20
+/** How long a gate tries to refresh its view, for example after a pause, before it continues with the view it has. */
+const REFRESH_TIMEOUT_MS = 2000
+/** Time for callers to read the last answers before the gate stops. */
+const STOP_GRACE_MS = 1000
 
 export class Gate extends Disposable {
   private readonly _options: GateOptions
-  /** Sessions name it, so that a restarted gate knows that they are not its own. */
+  /** Included in sessions, so that a restarted gate can reject sessions of its predecessor. */
   private readonly _incarnationId = createRandomId(8)
   private readonly _facts: FactStore
   private readonly _configuration: ConfigurationService
   private readonly _sessions: SessionService
   private readonly _scheduler: UpstreamScheduler
   private readonly _decisions: DecisionLog
-  private readonly _pause: PauseDetector
-  private readonly _recent: DecayingCounter
+  private readonly _pauseDetector: PauseDetector
+  private readonly _recentRequests: DecayingCounter
   private readonly _subscription: StewardSubscription
   private readonly _requests: GateRequests
   private readonly _metrics: GateMetrics
   private readonly _onDidStop = this._register(new Emitter<void>())
-  /** Fired at the end of a planned stop. */
+  /** Fires at the end of a planned stop. */
   readonly onDidStop = this._onDidStop.event
   private readonly _startedAt: number
   private _factCounter = 0
-  private _announced = { at: -Infinity, inFlight: 0 }
+  private _lastAnnouncement = { at: -Infinity, inFlight: 0 }
   private _locateCount = 0
-  private _isRefreshed = false
+  private _hasRefreshedView = false
   private _isDraining = false
-  private _refreshing: Promise<void> | undefined
+  private _pendingRefresh: Promise<void> | undefined
 
   constructor (options: GateOptions) {
     super()
@@ -99,8 +100,8 @@
     this._facts = this._register(new FactStore(clock))
     this._configuration = this._register(new ConfigurationService(clock))
     this._decisions = new DecisionLog(clock)
-    this._pause = new PauseDetector({ clock, getTimeOfDay: Date.now })
-    this._recent = new DecayingCounter(clock, RECENT_MS)
+    this._pauseDetector = new PauseDetector({ clock, getTimeOfDay: Date.now })
+    this._recentRequests = new DecayingCounter(clock, RECENT_REQUESTS_MS)
     this._sessions = new SessionService({
       clock,
       createId: () => createRandomId(SESSION_ID_BYTES),
@@ -109,14 +110,14 @@
       maxRetainedSize: settings.kept_answers_mb * 1024 * 1024
     })
     this._scheduler = this._createScheduler()
-    this._metrics = new GateMetrics({ sessions: this._sessions, facts: this._facts, pause: this._pause })
+    this._metrics = new GateMetrics({ sessions: this._sessions, facts: this._facts, pauseDetector: this._pauseDetector })
     this._subscription = this._register(this._createSubscription())
     this._requests = this._createRequests()
     this._register(this._configuration.onDidAccept(accepted => {
       options.log.info('configuration_accepted', { number: formatConfigurationNumber(accepted.number), source: accepted.source })
       this._announce()
     }))
-    this._register(this._subscription.onDidConnect(() => { void this._refresh() }))
+    this._register(this._subscription.onDidConnect(() => { void this._refreshView() }))
   }
 
   async start (): Promise<void> {
@@ -132,17 +133,17 @@
     const metrics = settings.metrics_address === undefined ? undefined : parseAddress(settings.metrics_address)
     if (metrics !== undefined) await this._register(new MetricsServer(this._metrics.metrics)).listen(metrics.host, metrics.port)
     this._register(startInterval(PAUSE_CHECK_PERIOD_MS, () => this._checkPause()))
-    this._register(startInterval(SWEEP_PERIOD_MS, () => this._scheduler.sweep()))
-    this._register(startInterval(FORGET_PERIOD_MS, () => this._facts.removeExpired()))
-    this._register(startInterval(FACT_PERIOD_MS, () => this._announceIfDue()))
+    this._register(startInterval(QUEUE_SWEEP_PERIOD_MS, () => this._scheduler.sweep()))
+    this._register(startInterval(FACT_CLEANUP_PERIOD_MS, () => this._facts.removeExpired()))
+    this._register(startInterval(ANNOUNCEMENT_CHECK_PERIOD_MS, () => this._announceIfDue()))
     log.info('listening', { address: settings.address, hall: settings.hall })
   }
 
-  /** Nothing new is taken in; resolves when all requests in progress have ended and their callers had time to read the end. */
+  /** Stops accepting requests; resolves when those in progress have ended and callers have had time to read the answers. */
   async stop (): Promise<void> {
     this._startDraining()
-    while (this._sessions.runningCount > 0) await waitFor(POLL_MS)
-    await waitFor(LINGER_MS)
+    while (this._sessions.runningCount > 0) await waitFor(POLL_INTERVAL_MS)
+    await waitFor(STOP_GRACE_MS)
     this._options.log.info('stopped', { address: this._options.settings.address })
     this._onDidStop.fire()
     this.dispose()
@@ -156,9 +157,9 @@
     this._subscription.pushNow()
   }
 
-  /** Whether the gate has a view and a configuration, and so takes requests in. */
+  /** Whether the gate has a view and a configuration, which it needs to accept requests. */
   get isReady (): boolean {
-    return this._isRefreshed && this._configuration.current !== undefined
+    return this._hasRefreshedView && this._configuration.current !== undefined
   }
 
   private _createScheduler (): UpstreamScheduler {
@@ -197,16 +198,16 @@
     const { settings, clock } = this._options
     const policy = settings.policy
     const adapter = this._register(new HttpUpstreamAdapter({ localAddress: settings.local_ip }))
-    const committed = new CommittedWork(clock)
-    const seal = new CheckpointSigner({ key: settings.checkpoint_key, previousKey: settings.previous_checkpoint_key })
+    const committedWork = new CommittedWork(clock)
+    const checkpointSigner = new CheckpointSigner({ key: settings.checkpoint_key, previousKey: settings.previous_checkpoint_key })
     const stages = new StageRunner({
       clock,
       adapter,
       scheduler: this._scheduler,
       retries: createRetries(policy),
       decisions: this._decisions,
-      canSend: () => !this._pause.isStale,
-      waitUntilCanSend: () => this._waitUntilMaySend(),
+      canSend: () => !this._pauseDetector.isStale,
+      waitUntilCanSend: () => this._waitUntilCanSend(),
       onDidReportLeaving: (upstream, incarnation) => {
         markLeaving(this._facts, upstream, incarnation, 'refused a gate')
         this._subscription.pushNow()
@@ -221,53 +222,53 @@
       sessions: this._sessions,
       scheduler: this._scheduler,
       admission: createAdmission(policy),
-      committed,
-      seal,
-      runner: new RequestRunner({ clock, stages, committed, checkpointSigner: seal, decisions: this._decisions, chunkIntervalMs: settings.chunk_interval_ms }),
+      committedWork,
+      checkpointSigner,
+      runner: new RequestRunner({ clock, stages, committed: committedWork, checkpointSigner, decisions: this._decisions, chunkIntervalMs: settings.chunk_interval_ms }),
       decisions: this._decisions,
       isReady: () => this.isReady,
       isDraining: () => this._isDraining,
       listGates: customer => this._listGates(customer),
-      catchUp: number => this._catchUp(number),
-      onWillBegin: () => this._recent.add(1),
-      onDidEnd: (pipeline, run) => this._metrics.recordEnd(pipeline, run, clock.now())
+      waitForConfiguration: number => this._waitForConfiguration(number),
+      onWillProcessRequest: () => this._recentRequests.add(1),
+      onDidFinishRequest: (pipeline, run) => this._metrics.recordRequest(pipeline, run, clock.now())
     })
   }
 
-  /** The settings' stewards, then others of the view, those of this hall first. */
+  /** Returns the stewards from the settings, then the live ones in the view, those of this hall first. */
   private _listStewards (): readonly string[] {
     const { settings } = this._options
     const live = this._facts.listByKind('member').map(fact => fact.value).filter(member => member.state === 'alive')
-    const learned = [...live.filter(member => member.hall === settings.hall), ...live.filter(member => member.hall !== settings.hall)]
-    return [...new Set([...settings.stewards, ...learned.map(member => member.address)])]
+    const discovered = [...live.filter(member => member.hall === settings.hall), ...live.filter(member => member.hall !== settings.hall)]
+    return [...new Set([...settings.stewards, ...discovered.map(member => member.address)])]
   }
 
-  /** Says what is new of this gate: a changed load soon, everything else as a heartbeat. */
+  /** Announces this gate soon after its load has changed notably, or else as a heartbeat. */
   private _announceIfDue (): void {
     const inFlight = this._sessions.runningCount
-    const step = Math.max(4, this._announced.inFlight * FACT_STEP)
-    const isDue = this._options.clock.now() - this._announced.at >= FACT_HEARTBEAT_MS
-    if (isDue || Math.abs(inFlight - this._announced.inFlight) >= step) this._announce()
+    const minChange = Math.max(4, this._lastAnnouncement.inFlight * MIN_LOAD_CHANGE_RATIO)
+    const isHeartbeatDue = this._options.clock.now() - this._lastAnnouncement.at >= HEARTBEAT_PERIOD_MS
+    if (isHeartbeatDue || Math.abs(inFlight - this._lastAnnouncement.inFlight) >= minChange) this._announce()
   }
 
   private _announce (): void {
-    this._announced = { at: this._options.clock.now(), inFlight: this._sessions.runningCount }
+    this._lastAnnouncement = { at: this._options.clock.now(), inFlight: this._sessions.runningCount }
 
     const { settings, incarnation } = this._options
     const { address, hall } = settings
     const subject = formatGateSubject(address)
-    // A gate whose clock fell behind that of its predecessor at this address must still be heard.
-    const known = this._facts.get(subject)?.incarnation ?? 0
+    // Uses at least the known incarnation: a gate whose clock is behind its predecessor's would otherwise be ignored.
+    const knownIncarnation = this._facts.get(subject)?.incarnation ?? 0
     this._facts.merge({
       subject,
-      incarnation: Math.max(incarnation, known),
+      incarnation: Math.max(incarnation, knownIncarnation),
       counter: ++this._factCounter,
       value: {
         kind: 'gate',
         address,
         hall,
         inFlight: this._sessions.runningCount,
-        recentRequests: Math.round(this._recent.value),
+        recentRequests: Math.round(this._recentRequests.value),
         draining: this._isDraining,
         ready: this.isReady,
         configuration: this._configuration.number
@@ -277,51 +278,54 @@
   }
 
   private _listGates (customer: string): readonly LocatedGate[] {
-    return rankGates({ customer, gates: this._viewGates(), salt: `${this._incarnationId}/${this._locateCount++}` })
+    return rankGates({ customer, gates: this._listGateViews(), salt: `${this._incarnationId}/${this._locateCount++}` })
   }
 
-  /** Gates that this one would recommend now. */
+  /** Returns the number of gates that this one would recommend now. */
   countGates (): number {
-    return this._viewGates().filter(isUsableGate).length
+    return this._listGateViews().filter(isUsableGate).length
   }
 
-  private _viewGates (): readonly GateView[] {
+  private _listGateViews (): readonly GateView[] {
     const now = this._options.clock.now()
     return this._facts.listByKind('gate').map(fact => ({ ...fact.value, ageMs: now - fact.observedAt }))
   }
 
-  private async _catchUp (number: ConfigurationNumber): Promise<boolean> {
-    const until = this._options.clock.now() + CATCH_UP_MS
+  private async _waitForConfiguration (number: ConfigurationNumber): Promise<boolean> {
+    const timeoutAt = this._options.clock.now() + CONFIGURATION_TIMEOUT_MS
     const isBehind = () => compareConfigurationNumbers(this._configuration.number, number) < 0
     this._subscription.askForConfiguration()
-    while (isBehind() && this._options.clock.now() < until) await waitFor(POLL_MS)
+    while (isBehind() && this._options.clock.now() < timeoutAt) await waitFor(POLL_INTERVAL_MS)
     return !isBehind()
   }
 
   private _checkPause (): void {
-    if (this._pause.isStale) void this._refresh()
+    if (this._pauseDetector.isStale) void this._refreshView()
   }
 
-  private async _waitUntilMaySend (): Promise<void> {
-    if (this._pause.isStale) await this._refresh()
+  private async _waitUntilCanSend (): Promise<void> {
+    if (this._pauseDetector.isStale) await this._refreshView()
   }
 
-  /** Reads the view anew; where no steward answers, the gate goes on with what it has, as a cut-off part must. */
-  private _refresh (): Promise<void> {
-    this._refreshing ??= this._readAnew().finally(() => { this._refreshing = undefined })
-    return this._refreshing
+  /**
+   * Refreshes the view. If no steward answers, the gate continues with the view it has, so that a partitioned part of
+   * the system keeps serving.
+   */
+  private _refreshView (): Promise<void> {
+    this._pendingRefresh ??= this._readView().finally(() => { this._pendingRefresh = undefined })
+    return this._pendingRefresh
   }
 
-  private async _readAnew (): Promise<void> {
-    const until = this._options.clock.now() + REFRESH_PATIENCE_MS
+  private async _readView (): Promise<void> {
+    const timeoutAt = this._options.clock.now() + REFRESH_TIMEOUT_MS
     let isRefreshed = await this._subscription.refresh()
-    while (!isRefreshed && !this._isDisposed && this._options.clock.now() < until) {
-      await waitFor(POLL_MS)
+    while (!isRefreshed && !this._isDisposed && this._options.clock.now() < timeoutAt) {
+      await waitFor(POLL_INTERVAL_MS)
       isRefreshed = await this._subscription.refresh()
     }
-    if (isRefreshed) this._isRefreshed = true
-    if (!isRefreshed && this._pause.isStale) this._options.log.warn('view_not_refreshed', { steward: this._subscription.stewardAddress })
-    this._pause.markRefreshed()
+    if (isRefreshed) this._hasRefreshedView = true
+    if (!isRefreshed && this._pauseDetector.isStale) this._options.log.warn('view_not_refreshed', { steward: this._subscription.stewardAddress })
+    this._pauseDetector.markRefreshed()
     this._announce()
   }
 
@@ -339,7 +343,7 @@
       steward: this._subscription.stewardAddress,
       stewardLinks: this._subscription.linkCount,
       configuration: this._configuration.number,
-      pauses: this._pause.pauseCount,
+      pauses: this._pauseDetector.pauseCount,
       policy: settings.policy,
       upstreams: this._scheduler.describe(),
       sessions: this._sessions.sessions.map(session => ({
--- a/src/gate/gateMetrics.ts
+++ b/src/gate/gateMetrics.ts
@@ -1,5 +1,5 @@
 /**
- * What a gate counts: ends of requests, attempts and times.
+ * Metrics of a gate: finished requests, attempts and durations.
  */
 import type { FactStore } from '../services/facts/common/factStore.ts'
 import { MetricsRegistry } from '../services/metrics/node/metricsServer.ts'
@@ -11,36 +11,36 @@
 export interface GateMetricsOptions {
   readonly sessions: ISessionService
   readonly facts: FactStore
-  readonly pause: PauseDetector
+  readonly pauseDetector: PauseDetector
 }
 
 export class GateMetrics {
   readonly metrics = new MetricsRegistry()
-  private readonly _ends = this.metrics.createCounter('requests_total', 'Requests that ended', ['pipeline', 'customer', 'result'])
-  private readonly _times = this.metrics.createLatencyHistogram('request_ms', 'Time of requests answered whole', ['pipeline'])
-  private readonly _attempts = this.metrics.createCounter('attempts_total', 'Attempts at upstreams', ['role', 'outcome', 'retry'])
-  private readonly _busy = this.metrics.createCounter('stage_busy_ms_total', 'Busy time that upstreams reported', ['stage', 'answered'])
+  private readonly _requestCounter = this.metrics.createCounter('requests_total', 'Requests that ended', ['pipeline', 'customer', 'result'])
+  private readonly _requestDurations = this.metrics.createLatencyHistogram('request_ms', 'Time of requests answered whole', ['pipeline'])
+  private readonly _attemptCounter = this.metrics.createCounter('attempts_total', 'Attempts at upstreams', ['role', 'outcome', 'retry'])
+  private readonly _stageBusyTime = this.metrics.createCounter('stage_busy_ms_total', 'Busy time that upstreams reported', ['stage', 'answered'])
 
   constructor (options: GateMetricsOptions) {
     this.metrics.addProcessMetrics()
     this.metrics.createGauge('requests_in_progress', 'Requests in progress', () => options.sessions.runningCount)
     this.metrics.createGauge('sessions', 'Sessions open', () => options.sessions.sessions.length)
     this.metrics.createGauge('facts', 'Facts held', () => options.facts.size)
-    this.metrics.createGauge('pauses_total', 'Pauses of the process that were noticed', () => options.pause.pauseCount)
+    this.metrics.createGauge('pauses_total', 'Pauses of the process that were noticed', () => options.pauseDetector.pauseCount)
   }
 
   recordAttempt (attempt: EndedAttempt): void {
-    this._attempts.inc({ role: attempt.role, outcome: attempt.kind, retry: String(attempt.isRetry) })
+    this._attemptCounter.inc({ role: attempt.role, outcome: attempt.kind, retry: String(attempt.isRetry) })
   }
 
-  recordEnd (pipeline: string, run: RequestRun, now: number): void {
+  recordRequest (pipeline: string, run: RequestRun, now: number): void {
     const { outcome: end, customer } = run
     if (end === undefined) return
     const result = end.kind === 'whole' ? 'whole' : end.error.resultName
-    // A pipeline that no one configured must not make a label of its own.
-    const isKnown = end.kind === 'whole' || end.error.resultName !== 'pipelineUnknown'
-    this._ends.inc({ pipeline: isKnown ? pipeline : '', customer, result })
-    if (end.kind === 'whole') this._times.observe({ pipeline }, now - run.startedAt)
-    for (const cost of end.costs) this._busy.inc({ stage: cost.stage, answered: String(end.kind === 'whole') }, cost.busyMs)
+    // Names of unknown pipelines come from callers and must not create label values.
+    const isKnownPipeline = end.kind === 'whole' || end.error.resultName !== 'pipelineUnknown'
+    this._requestCounter.inc({ pipeline: isKnownPipeline ? pipeline : '', customer, result })
+    if (end.kind === 'whole') this._requestDurations.observe({ pipeline }, now - run.startedAt)
+    for (const cost of end.costs) this._stageBusyTime.inc({ stage: cost.stage, answered: String(end.kind === 'whole') }, cost.busyMs)
   }
 }
--- a/src/gate/gateRequests.ts
+++ b/src/gate/gateRequests.ts
@@ -1,5 +1,5 @@
 /**
- * Takes requests in: whose it is, whether this gate may run it, whether it can finish in time; then runs it.
+ * Accepts requests: checks the session, whether this gate may run the request, and whether it can finish in time; then runs it.
  */
 import { Left } from 'purify-ts'
 import type { Either } from 'purify-ts'
@@ -22,17 +22,17 @@
 import type { RequestRun } from '../services/session/common/requestRun.ts'
 import type { ISessionService } from '../services/session/common/sessionService.ts'
 import type { CheckpointSigner } from '../services/session/node/checkpointSigner.ts'
-import { checkKey, checkPromise, checkSubmission, createError, digestContent } from './requestChecks.ts'
+import { checkCustomerKey, checkSessionUpToDate, checkSubmission, createError, digestContent } from './requestChecks.ts'
 
-/** An answer to a caller whose request has no run here. */
+/** The answer to a caller whose request has no run at this gate. */
 export interface RefusedRequest {
   readonly error: PepperwoodError
   readonly retryAfterMs: number
-  /** Where to go instead. */
+  /** Gates to use instead. */
   readonly gates: readonly LocatedGate[]
 }
 
-/** A session as its caller gets it. */
+/** A new session as it is returned to the caller. */
 export interface OpenedSession {
   readonly id: string
   readonly home: string
@@ -50,30 +50,30 @@
   readonly sessions: ISessionService
   readonly scheduler: UpstreamScheduler
   readonly admission: AdmissionPolicy
-  readonly committed: CommittedWork
-  readonly seal: CheckpointSigner
+  readonly committedWork: CommittedWork
+  readonly checkpointSigner: CheckpointSigner
   readonly runner: IRequestRunner
   readonly decisions: DecisionLog
   readonly isReady: () => boolean
   readonly isDraining: () => boolean
   readonly listGates: (customer: string) => readonly LocatedGate[]
-  /** Waits for a configuration as high as the number; false when it did not come in time. */
-  readonly catchUp: (number: ConfigurationNumber) => Promise<boolean>
-  /** A request that this gate has not seen before is about to be considered. */
-  readonly onWillBegin: () => void
-  readonly onDidEnd: (pipeline: string, run: RequestRun) => void
+  /** Waits for a configuration at least as new as the number; resolves to false if none arrives in time. */
+  readonly waitForConfiguration: (number: ConfigurationNumber) => Promise<boolean>
+  /** Called before the gate processes a request that it has not seen before. */
+  readonly onWillProcessRequest: () => void
+  readonly onDidFinishRequest: (pipeline: string, run: RequestRun) => void
 }
 
-const GATE_RETRY_MS = 100
-const NOT_READY_RETRY_MS = 500
+const RETRY_AFTER_MS = 100
+const NOT_READY_RETRY_AFTER_MS = 500
 
-/** Results that say that this gate is the wrong one for now, while another may do. */
-const RESULTS_ABOUT_GATE: ReadonlySet<ResultName> = new Set(['gateDraining', 'gateNotReady', 'configurationBehind', 'overloaded', 'sessionLimit'])
+/** Results that concern this gate only: another gate may accept the request now. */
+const GATE_SPECIFIC_RESULTS: ReadonlySet<ResultName> = new Set(['gateDraining', 'gateNotReady', 'configurationBehind', 'overloaded', 'sessionLimit'])
 
 export class GateRequests {
   constructor (private readonly _options: GateRequestsOptions) {}
 
-  /** Of the configuration in force here. */
+  /** The number of the configuration in force at this gate. */
   get configurationNumber (): ConfigurationNumber {
     return this._options.configuration.number
   }
@@ -84,74 +84,74 @@
 
   async openSession (request: OpenSessionRequest): Promise<Either<RefusedRequest, OpenedSession>> {
     const { clock, address, incarnation, sessions, configuration } = this._options
-    const unavailable = await this._findUnavailable(request.seenConfiguration)
-    if (unavailable !== undefined) return Left(this._refuse(unavailable, request.customer))
-    const repeatable = configuration.current === undefined ? [] : listRepeatablePipelines(configuration.current.configuration)
-    return checkKey(request, configuration.current)
-      .chain(customer => sessions.open(customer.name, repeatable))
+    const availabilityError = await this._findAvailabilityError(request.seenConfiguration)
+    if (availabilityError !== undefined) return Left(this._createRefusedRequest(availabilityError, request.customer))
+    const repeatablePipelines = configuration.current === undefined ? [] : listRepeatablePipelines(configuration.current.configuration)
+    return checkCustomerKey(request, configuration.current)
+      .chain(customer => sessions.open(customer.name, repeatablePipelines))
       .map(session => ({
         id: session.id,
         home: address,
         incarnation,
         expiresInMs: Math.floor(session.expiresAt - clock.now()),
         configuration: configuration.number,
-        repeatablePipelines: [...repeatable]
+        repeatablePipelines: [...repeatablePipelines]
       }))
-      .mapLeft(error => this._refuse(error, request.customer))
+      .mapLeft(error => this._createRefusedRequest(error, request.customer))
   }
 
   /**
-   * The run that answers the request. From here on its number is used up, even when it is refused as not run:
-   * a copy of the request that arrives late must not run after that refusal was given.
+   * Returns the run that answers the request. This consumes the request number even if the request is refused as not
+   * run: a duplicate that arrives later must not run once the caller has received that refusal.
    */
   submit (request: SubmitRequest): Either<RefusedRequest, RequestRun> {
-    const misdirected = this._findMisdirected(request)
-    if (misdirected !== undefined) return Left(this._refuse(misdirected, ''))
+    const routingError = this._findRoutingError(request)
+    if (routingError !== undefined) return Left(this._createRefusedRequest(routingError, ''))
     const { sessions } = this._options
     const contentDigest = digestContent(request)
     return sessions.submit({ sessionId: request.session, number: request.number, contentDigest, isUnrepeatable: request.unrepeatable })
-      .mapLeft(error => this._refuse(error, ''))
+      .mapLeft(error => this._createRefusedRequest(error, ''))
       .map(submission => {
         if (submission.kind === 'run') {
-          this._options.onWillBegin()
-          void this._begin(request, submission.run)
+          this._options.onWillProcessRequest()
+          void this._processRequest(request, submission.run)
         }
         return submission.run
       })
   }
 
   findRun (request: Pick<AttachRequest, 'session' | 'home' | 'incarnation' | 'number'>): Either<RefusedRequest, RequestRun> {
-    const misdirected = this._findMisdirected(request)
-    if (misdirected !== undefined) return Left(this._refuse(misdirected, ''))
-    return this._options.sessions.findRun(request.session, request.number).mapLeft(error => this._refuse(error, ''))
+    const routingError = this._findRoutingError(request)
+    if (routingError !== undefined) return Left(this._createRefusedRequest(routingError, ''))
+    return this._options.sessions.findRun(request.session, request.number).mapLeft(error => this._createRefusedRequest(error, ''))
   }
 
-  private async _begin (request: SubmitRequest, run: RequestRun): Promise<void> {
-    const unavailable = await this._findUnavailable(request.seenConfiguration)
-    const admitted = unavailable === undefined ? this._admit(request, run) : Left(this._refuse(unavailable, run.customer))
+  private async _processRequest (request: SubmitRequest, run: RequestRun): Promise<void> {
+    const availabilityError = await this._findAvailabilityError(request.seenConfiguration)
+    const admitted = availabilityError === undefined ? this._admit(request, run) : Left(this._createRefusedRequest(availabilityError, run.customer))
     if (admitted.isRight()) await this._options.runner.run(admitted.extract(), run)
     else admitted.ifLeft(refused => run.finish({ kind: 'refused', ...refused, execution: 'notRun', costs: [] }))
     this._options.sessions.retain(run)
-    this._options.onDidEnd(request.pipeline, run)
+    this._options.onDidFinishRequest(request.pipeline, run)
   }
 
-  /** Nothing has run before this, so every refusal from here is `notRun`. */
+  /** No stage has been sent yet, so every refusal from here is `notRun`. */
   private _admit (request: SubmitRequest, run: RequestRun): Either<RefusedRequest, RequestPlan> {
     const session = this._options.sessions.find(request.session).toMaybe().extract()
-    const checked = checkSubmission(request, run, this._options.configuration.current, this._options.seal)
-      .chain(found => checkPromise(request, found.pipeline, session).map(() => found))
-    return checked.mapLeft(error => this._refuse(error, run.customer)).chain(found => {
-      const { clock, admission, committed, decisions } = this._options
-      const { accepted, customer, pipeline, checkpoint } = found
+    const checkResult = checkSubmission(request, run, this._options.configuration.current, this._options.checkpointSigner)
+      .chain(submission => checkSessionUpToDate(request, submission.pipeline, session).map(() => submission))
+    return checkResult.mapLeft(error => this._createRefusedRequest(error, run.customer)).chain(submission => {
+      const { clock, admission, committedWork, decisions } = this._options
+      const { accepted, customer, pipeline, checkpoint } = submission
       const timeLeftMs = Math.min(request.timeLeftMs === 0 ? pipeline.deadlineMs : request.timeLeftMs, pipeline.deadlineMs)
       const stagesDone = checkpoint?.stagesDone ?? 0
       const customerWeight = customer.weight === 0 ? 1 : customer.weight
-      const decision = admission.decide({ customer: customer.name, customerWeight, timeLeftMs, priority: pipeline.priority, stages: this._forecast(pipeline, stagesDone) }, committed)
+      const decision = admission.decide({ customer: customer.name, customerWeight, timeLeftMs, priority: pipeline.priority, stages: this._forecast(pipeline, stagesDone) }, committedWork)
       const inputs = `customer=${customer.name} pipeline=${pipeline.name} timeLeftMs=${timeLeftMs} configuration=${formatConfigurationNumber(accepted.number)}`
       return decision.bimap(
         ({ error, retryAfterMs }) => {
           decisions.record({ subject: run.requestId, kind: 'refuse', choice: error.resultName, reason: error.message, inputs })
-          return { ...this._refuse(error, customer.name), retryAfterMs }
+          return { ...this._createRefusedRequest(error, customer.name), retryAfterMs }
         },
         grant => {
           decisions.record({ subject: run.requestId, kind: 'admit', choice: 'run', reason: `predicted ${Math.round(grant.predictedMs)} ms`, inputs })
@@ -182,32 +182,32 @@
     }))
   }
 
-  private _findMisdirected (request: Pick<AttachRequest, 'session' | 'home' | 'incarnation'>): PepperwoodError | undefined {
+  private _findRoutingError (request: Pick<AttachRequest, 'session' | 'home' | 'incarnation'>): PepperwoodError | undefined {
     const { address, incarnation } = this._options
-    if (request.home !== address) return createError('sessionElsewhere', 'the session lives at another gate', 'home', request.home)
+    if (request.home !== address) return createError('sessionElsewhere', 'the session is held by another gate', 'home', request.home)
     if (request.incarnation !== incarnation) return createError('sessionUnknown', 'the gate was restarted since the session was opened', 'incarnation', request.incarnation)
     return undefined
   }
 
-  /** Why nothing new is taken in now. */
-  private async _findUnavailable (seen: ConfigurationNumber | undefined): Promise<PepperwoodError | undefined> {
-    const { isReady, isDraining, configuration, catchUp } = this._options
-    if (!isReady()) return createError('gateNotReady', 'the gate has no view yet', '', '')
+  /** Returns why the gate cannot accept a new request or session now, if so. */
+  private async _findAvailabilityError (seenConfiguration: ConfigurationNumber | undefined): Promise<PepperwoodError | undefined> {
+    const { isReady, isDraining, configuration, waitForConfiguration } = this._options
+    if (!isReady()) return createError('gateNotReady', 'the gate has no view or no configuration yet', '', '')
     if (isDraining()) return createError('gateDraining', 'the gate is stopping', '', '')
-    if (seen === undefined || compareConfigurationNumbers(seen, configuration.number) <= 0) return undefined
-    if (await catchUp(seen)) return undefined
-    return createError('configurationBehind', 'the caller has seen a higher configuration', 'seenConfiguration', `${seen.epoch}.${seen.version}`)
+    if (seenConfiguration === undefined || compareConfigurationNumbers(seenConfiguration, configuration.number) <= 0) return undefined
+    if (await waitForConfiguration(seenConfiguration)) return undefined
+    return createError('configurationBehind', 'the caller has seen a newer configuration than this gate has', 'seenConfiguration', `${seenConfiguration.epoch}.${seenConfiguration.version}`)
   }
 
-  /** The session's home, as far as this gate knows it. */
-  private _findHome (address: string): readonly LocatedGate[] {
+  /** Returns the gate at the address if it is among the gates that this one recommends. */
+  private _findHomeGate (address: string): readonly LocatedGate[] {
     return this._options.listGates('').filter(gate => gate.address === address)
   }
 
-  private _refuse (error: PepperwoodError, customer: string): RefusedRequest {
-    if (error.resultName === 'sessionElsewhere') return { error, retryAfterMs: 0, gates: this._findHome(error.value) }
-    if (!RESULTS_ABOUT_GATE.has(error.resultName)) return { error, retryAfterMs: 0, gates: [] }
+  private _createRefusedRequest (error: PepperwoodError, customer: string): RefusedRequest {
+    if (error.resultName === 'sessionElsewhere') return { error, retryAfterMs: 0, gates: this._findHomeGate(error.value) }
+    if (!GATE_SPECIFIC_RESULTS.has(error.resultName)) return { error, retryAfterMs: 0, gates: [] }
     const gates = this._options.listGates(customer).filter(gate => gate.address !== this._options.address)
-    return { error, retryAfterMs: error.resultName === 'gateNotReady' ? NOT_READY_RETRY_MS : GATE_RETRY_MS, gates }
+    return { error, retryAfterMs: error.resultName === 'gateNotReady' ? NOT_READY_RETRY_AFTER_MS : RETRY_AFTER_MS, gates }
   }
 }
--- a/src/gate/policies.ts
+++ b/src/gate/policies.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the decisions that the settings name.
+ * Creates the policy implementations that are selected in the settings.
  */
 import type { IRandom } from '../base/common/random.ts'
 import { AdmitAll, PredictedFinishAdmission } from '../services/admission/common/admissionPolicy.ts'
--- a/src/gate/requestChecks.ts
+++ b/src/gate/requestChecks.ts
@@ -1,5 +1,5 @@
 /**
- * What a request must satisfy before it is considered at all.
+ * Checks that a request must pass before its admission is decided.
  */
 import { Left, Right } from 'purify-ts'
 import type { Either } from 'purify-ts'
@@ -13,7 +13,7 @@
 import type { Session } from '../services/session/common/sessionService.ts'
 import type { CheckpointContent, CheckpointSigner } from '../services/session/node/checkpointSigner.ts'
 
-/** What was found for a request that may be considered. */
+/** A submission that passed its checks, with the configuration that applies to it. */
 export interface CheckedSubmission {
   readonly accepted: AcceptedConfiguration
   readonly customer: Customer
@@ -21,28 +21,28 @@
   readonly checkpoint: CheckpointContent | undefined
 }
 
-/** The largest input, in UTF-16 units. */
+/** In UTF-16 code units. */
 const MAX_INPUT_LENGTH = 1024 * 1024
 
 export function createError (name: ResultName, message: string, place: string, value: string): PepperwoodError {
   return new PepperwoodError({ name, message, place, value })
 }
 
-/** What makes two submissions the same request; the time left and the checkpoint may differ. */
+/** Returns a digest that is equal for submissions of the same request; their time left and checkpoint may differ. */
 export function digestContent (request: SubmitRequest): string {
   return hashSha256(JSON.stringify([request.pipeline, request.input, request.unrepeatable]))
 }
 
-/** Whose key it is; the comparison takes the same time wherever the digests differ. */
-export function checkKey (request: OpenSessionRequest, accepted: AcceptedConfiguration | undefined): Either<PepperwoodError, Customer> {
+/** Returns the customer if the key is correct. Digests are compared in constant time. */
+export function checkCustomerKey (request: OpenSessionRequest, accepted: AcceptedConfiguration | undefined): Either<PepperwoodError, Customer> {
   const customer = accepted?.configuration.customers.find(item => item.name === request.customer)
   if (customer === undefined) return Left(createError('customerUnknown', 'no such customer', 'customer', request.customer))
-  if (!isSameDigest(hashSha256(request.key), customer.keySha256)) return Left(createError('keyWrong', 'the key is not the customer\'s', 'key', ''))
+  if (!isSameDigest(hashSha256(request.key), customer.keySha256)) return Left(createError('keyWrong', 'the key does not match the customer', 'key', ''))
   return Right(customer)
 }
 
-export function checkSubmission (request: SubmitRequest, run: RequestRun, accepted: AcceptedConfiguration | undefined, seal: CheckpointSigner): Either<PepperwoodError, CheckedSubmission> {
-  if (accepted === undefined) return Left(createError('gateNotReady', 'no configuration yet', '', ''))
+export function checkSubmission (request: SubmitRequest, run: RequestRun, accepted: AcceptedConfiguration | undefined, checkpointSigner: CheckpointSigner): Either<PepperwoodError, CheckedSubmission> {
+  if (accepted === undefined) return Left(createError('gateNotReady', 'no configuration has been accepted yet', '', ''))
   if (request.input.length > MAX_INPUT_LENGTH) return Left(createError('requestTooLarge', `expected at most ${MAX_INPUT_LENGTH} characters`, 'input', String(request.input.length)))
   const customer = accepted.configuration.customers.find(item => item.name === run.customer)
   if (customer === undefined) return Left(createError('customerUnknown', 'the customer is no longer configured', 'session', run.customer))
@@ -50,26 +50,26 @@
   if (pipeline === undefined) return Left(createError('pipelineUnknown', 'no such pipeline', 'pipeline', request.pipeline))
   const isForbidden = customer.pipelines.length > 0 && !customer.pipelines.includes(pipeline.name)
   if (isForbidden) return Left(createError('pipelineForbidden', 'the customer may not use this pipeline', 'pipeline', request.pipeline))
-  return openCheckpoint(request, run, pipeline, seal).map(checkpoint => ({ accepted, customer, pipeline, checkpoint }))
+  return verifyCheckpoint(request, run, pipeline, checkpointSigner).map(checkpoint => ({ accepted, customer, pipeline, checkpoint }))
 }
 
 /**
- * A session tells its caller which pipelines may be submitted anew. Where the configuration has changed since, so that
- * a pipeline must not, the caller needs a new session before anything runs.
+ * A session lists the pipelines whose requests its caller may resubmit. If a configuration change has since made a
+ * pipeline unrepeatable, the caller must open a new session before anything runs.
  */
-export function checkPromise (request: SubmitRequest, pipeline: Pipeline, session: Session | undefined): Either<PepperwoodError, void> {
-  const isPromised = session?.repeatablePipelines.has(pipeline.name) === true
-  const isBroken = isPromised && !request.unrepeatable && pipeline.stages.some(stage => stage.unrepeatable)
-  if (!isBroken) return Right(undefined)
-  return Left(createError('sessionOutdated', 'the pipeline must not be submitted anew any more: open a new session', 'pipeline', pipeline.name))
+export function checkSessionUpToDate (request: SubmitRequest, pipeline: Pipeline, session: Session | undefined): Either<PepperwoodError, void> {
+  const isRepeatableInSession = session?.repeatablePipelines.has(pipeline.name) === true
+  const isOutdated = isRepeatableInSession && !request.unrepeatable && pipeline.stages.some(stage => stage.unrepeatable)
+  if (!isOutdated) return Right(undefined)
+  return Left(createError('sessionOutdated', 'requests of this pipeline may no longer be resubmitted; open a new session', 'pipeline', pipeline.name))
 }
 
-function openCheckpoint (request: SubmitRequest, run: RequestRun, pipeline: Pipeline, seal: CheckpointSigner): Either<PepperwoodError, CheckpointContent | undefined> {
+function verifyCheckpoint (request: SubmitRequest, run: RequestRun, pipeline: Pipeline, checkpointSigner: CheckpointSigner): Either<PepperwoodError, CheckpointContent | undefined> {
   if (request.checkpoint.length === 0) return Right(undefined)
   if (request.unrepeatable || pipeline.stages.some(stage => stage.unrepeatable)) {
-    return Left(createError('checkpointInvalid', 'a checkpoint continues repeatable work only', 'checkpoint', ''))
+    return Left(createError('checkpointInvalid', 'only repeatable requests can resume from a checkpoint', 'checkpoint', ''))
   }
-  return seal.verify(request.checkpoint, {
+  return checkpointSigner.verify(request.checkpoint, {
     customer: run.customer,
     pipeline: pipeline.name,
     stages: pipeline.stages.map(stage => stage.name),
--- a/src/gate/requestHandlers.ts
+++ b/src/gate/requestHandlers.ts
@@ -1,5 +1,5 @@
 /**
- * The RequestService of a gate: checks what comes in, and turns typed errors into refusals.
+ * Implements the RequestService of a gate: streams answers to callers and converts typed errors to refusals.
  */
 import { create } from '@bufbuild/protobuf'
 import type { MessageInitShape } from '@bufbuild/protobuf'
@@ -25,12 +25,12 @@
   return create(AnswerEventSchema, { event })
 }
 
-/** Results that say nothing about whether the request ran: another process, or this one before, may know. */
-const OPEN_RESULTS: ReadonlySet<string> = new Set(['outcomeForgotten', 'sessionUnknown', 'sessionElsewhere', 'numberReused', 'requestUnknown'])
+/** Results that do not tell whether the request ran: another gate or an earlier submission may have run it. */
+const INCONCLUSIVE_RESULTS: ReadonlySet<string> = new Set(['outcomeForgotten', 'sessionUnknown', 'sessionElsewhere', 'numberReused', 'requestUnknown'])
 
-/** What a refusal may claim when this process has started nothing for the request. */
+/** Returns the execution state to report for a request that this gate did not start. */
 function chooseExecution (error: PepperwoodError): Execution {
-  return OPEN_RESULTS.has(error.resultName) ? Execution.MAY_HAVE_RUN : Execution.NOT_RUN
+  return INCONCLUSIVE_RESULTS.has(error.resultName) ? Execution.MAY_HAVE_RUN : Execution.NOT_RUN
 }
 
 export function createRefusal (refused: RefusedRequest): Refusal {
@@ -47,11 +47,11 @@
   })
 }
 
-export function createEndEvent (run: RequestRun, end: RunOutcome): AnswerEvent {
-  if (end.kind === 'whole') {
-    return createEvent({ case: 'end', value: { chunkCount: run.chunks.length, digest: end.digest, costs: [...end.costs] } })
+export function createOutcomeEvent (run: RequestRun, outcome: RunOutcome): AnswerEvent {
+  if (outcome.kind === 'whole') {
+    return createEvent({ case: 'end', value: { chunkCount: run.chunks.length, digest: outcome.digest, costs: [...outcome.costs] } })
   }
-  const { error, execution, retryAfterMs, gates, costs } = end
+  const { error, execution, retryAfterMs, gates, costs } = outcome
   return createEvent({
     case: 'refusal',
     value: {
@@ -69,29 +69,29 @@
   })
 }
 
-/** Follows a run to its end. A caller that goes away does not stop the run; it may come back and attach. */
+/** Streams the events of a run until it ends. A disconnected caller does not stop the run; it can attach to it later. */
 async function * followRun (run: RequestRun, fromChunk: number, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
-  let index = fromChunk
-  let checkpointSent = 0
+  let chunkIndex = fromChunk
+  let stagesDoneSent = 0
   let wake = () => {}
   const subscription = run.onDidChange(() => wake())
   signal.addEventListener('abort', () => wake(), { once: true })
   try {
     while (!signal.aborted) {
-      const changed = new Promise<void>(resolve => { wake = resolve })
+      const nextChange = new Promise<void>(resolve => { wake = resolve })
       const checkpoint = run.checkpoint
-      if (checkpoint !== undefined && checkpoint.stagesDone > checkpointSent && run.outcome === undefined) {
-        checkpointSent = checkpoint.stagesDone
+      if (checkpoint !== undefined && checkpoint.stagesDone > stagesDoneSent && run.outcome === undefined) {
+        stagesDoneSent = checkpoint.stagesDone
         yield createEvent({ case: 'checkpoint', value: { sealed: checkpoint.sealed, stagesDone: checkpoint.stagesDone } })
       }
-      for (; index < run.chunks.length; index++) {
-        yield createEvent({ case: 'chunk', value: { index, text: run.chunks[index] ?? '' } })
+      for (; chunkIndex < run.chunks.length; chunkIndex++) {
+        yield createEvent({ case: 'chunk', value: { index: chunkIndex, text: run.chunks[chunkIndex] ?? '' } })
       }
-      if (run.outcome !== undefined && index >= run.chunks.length) {
-        yield createEndEvent(run, run.outcome)
+      if (run.outcome !== undefined && chunkIndex >= run.chunks.length) {
+        yield createOutcomeEvent(run, run.outcome)
         return
       }
-      if (run.outcome === undefined) await changed
+      if (run.outcome === undefined) await nextChange
     }
   } finally {
     subscription.dispose()
@@ -111,10 +111,10 @@
         .extract()
     },
     async * submit (request, context) {
-      yield * answer(requests.submit(request), 0, requests.configurationNumber, context.signal)
+      yield * answerRequest(requests.submit(request), 0, requests.configurationNumber, context.signal)
     },
     async * attach (request, context) {
-      yield * answer(requests.findRun(request), request.fromChunk, requests.configurationNumber, context.signal)
+      yield * answerRequest(requests.findRun(request), request.fromChunk, requests.configurationNumber, context.signal)
     },
     cancel (request) {
       return requests.findRun(request)
@@ -129,9 +129,9 @@
   }
 }
 
-async function * answer (found: Either<RefusedRequest, RequestRun>, fromChunk: number, configuration: ConfigurationNumber, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
-  const run = found.toMaybe().extractNullable()
-  const refused = found.swap().toMaybe().extractNullable()
+async function * answerRequest (runOrRefusal: Either<RefusedRequest, RequestRun>, fromChunk: number, configuration: ConfigurationNumber, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
+  const run = runOrRefusal.toMaybe().extractNullable()
+  const refused = runOrRefusal.swap().toMaybe().extractNullable()
   if (refused !== null) yield createEvent({ case: 'refusal', value: createRefusal(refused) })
   if (run === null) return
   yield createEvent({ case: 'accepted', value: { requestId: run.requestId, configuration } })
--- a/src/gate/test/atMostOnce.test.ts
+++ b/src/gate/test/atMostOnce.test.ts
@@ -1,7 +1,7 @@
 /**
- * Random histories of callers, gates and upstreams: sends, copies that come late, gates that die and come back, pauses,
- * lost answers, cancels. What must hold in each: an unrepeatable request runs at most once, and what was refused as
- * not run did not run, then or later.
+ * Random histories of callers, gates and upstreams: submissions, delayed duplicates, gate restarts, pauses, lost
+ * answers and cancellations. Guards against an unrepeatable request that runs twice, and against a request that runs
+ * before or after it was refused as not run.
  */
 import { create } from '@bufbuild/protobuf'
 import fc from 'fast-check'
@@ -9,7 +9,7 @@
 import * as assert from 'uvu/assert'
 import { readRefusal } from '../../client/answerReader.ts'
 import type { ClientExecution } from '../../client/clientError.ts'
-import { maySubmitAnew } from '../../client/resubmission.ts'
+import { canResubmit } from '../../client/resubmission.ts'
 import { ConfigurationSchema, SubmitRequestSchema, UpstreamKind } from '../../generated/pepperwood/v1/pepperwood_pb.ts'
 import type { SubmitRequest } from '../../generated/pepperwood/v1/pepperwood_pb.ts'
 import { AdmitAll } from '../../services/admission/common/admissionPolicy.ts'
@@ -20,14 +20,14 @@
 import { SessionService } from '../../services/session/common/sessionService.ts'
 import { CheckpointSigner } from '../../services/session/node/checkpointSigner.ts'
 import { GateRequests } from '../gateRequests.ts'
-import { createRefusal, createEndEvent } from '../requestHandlers.ts'
+import { createRefusal, createOutcomeEvent } from '../requestHandlers.ts'
 
 const SEED = 20261206
 const HISTORIES = 10_000
 const test = suite('atMostOnce')
 
-/** How many requests of the histories came to each end; a history that reaches none of them would prove nothing. */
-const reached = { ranOnce: 0, refusedNotRun: 0, resubmitted: 0, homeGone: 0 }
+/** How many requests reached each case; the test proves nothing about cases that are not reached. */
+const reachedCounts = { ranOnce: 0, refusedNotRun: 0, resubmitted: 0, homeGone: 0 }
 
 const STAGES = [{ role: 'encode' }, { role: 'book', unrepeatable: true }]
 
@@ -46,8 +46,8 @@
   })
 }
 
-/** One life of a gate. */
-class GateLife {
+/** A gate process between two restarts. */
+class GateInstance {
   readonly sessions: SessionService
   readonly requests: GateRequests
   readonly runs: RequestRun[] = []
@@ -64,26 +64,26 @@
       sessions: this.sessions,
       scheduler: harness.scheduler,
       admission: new AdmitAll(),
-      committed: harness.committed,
-      seal: new CheckpointSigner({ key: 'a key for tests only' }),
+      committedWork: harness.committed,
+      checkpointSigner: new CheckpointSigner({ key: 'a key for tests only' }),
       runner: { run: async (plan, run) => { this.runs.push(run); await harness.runner.run(plan, run) } },
       decisions: harness.decisions,
       isReady: () => true,
       isDraining: () => this.isDraining,
       listGates: () => [],
-      catchUp: async () => true,
-      onWillBegin: () => {},
-      onDidEnd: () => {}
+      waitForConfiguration: async () => true,
+      onWillProcessRequest: () => {},
+      onDidFinishRequest: () => {}
     })
   }
 
-  /** The process is gone: nothing of it goes on. */
-  die (): void {
+  /** Simulates a process crash: aborts all runs. */
+  kill (): void {
     for (const run of this.runs) run.abortController.abort()
   }
 }
 
-/** One request as its caller sees it: the marker stays the same through all its submissions. */
+/** A request as its caller sees it; the marker is the same in all its submissions. */
 interface CallerRequest {
   readonly marker: string
   readonly submissions: SubmitRequest[]
@@ -106,9 +106,9 @@
 
 class History {
   private readonly _harness = createHarness(STAGES)
-  private readonly _gates: GateLife[]
+  private readonly _gates: GateInstance[]
   private readonly _requests: CallerRequest[] = []
-  private readonly _sessions = new Map<GateLife, string>()
+  private readonly _sessions = new Map<GateInstance, string>()
   private _nextId = 0
 
   constructor (script: readonly ScriptedCall[]) {
@@ -121,10 +121,10 @@
     for (const step of steps) {
       this._apply(step)
       await Promise.resolve()
-      if (step.kind !== 'copy') await settleMicrotasks()
+      if (step.kind !== 'copy') await flushMicrotasks()
     }
     this._harness.clock.advance(5000)
-    await settleMicrotasks()
+    await flushMicrotasks()
   }
 
   check (): void {
@@ -132,17 +132,17 @@
       const runs = this._countRuns(request)
       assert.ok(runs <= 1, `${request.marker} ran ${runs} times`)
       if (request.claims.at(-1) === 'notRun') assert.is(runs, 0, `${request.marker} was refused as not run`)
-      if (runs === 1) reached.ranOnce++
+      if (runs === 1) reachedCounts.ranOnce++
       for (const submission of request.submissions) this._checkClaim(submission)
-      if (request.submissions.length > 1) reached.resubmitted++
-      if (this._findRun(request.submissions.at(-1)) === undefined) reached.homeGone++
+      if (request.submissions.length > 1) reachedCounts.resubmitted++
+      if (this._findRun(request.submissions.at(-1)) === undefined) reachedCounts.homeGone++
     }
   }
 
-  /** Whatever was resubmitted since: under the number that was refused as not run, nothing ran. */
+  /** Checks that nothing ran under a number that was refused as not run, regardless of later resubmissions. */
   private _checkClaim (submission: SubmitRequest): void {
     if (this._readClaim(submission)?.execution !== 'notRun') return
-    reached.refusedNotRun++
+    reachedCounts.refusedNotRun++
     const id = `${submission.session}/${submission.number}/`
     assert.not(this._harness.adapter.ran.some(attempt => attempt.startsWith(id)), `${id} was refused as not run`)
   }
@@ -152,25 +152,25 @@
     const gate = this._gates[step.at % 2]
     if (step.kind === 'advance') this._harness.clock.advance(step.at)
     else if (step.kind === 'pause') this._harness.pause.canSend = false
-    else if (step.kind === 'restart' && gate !== undefined) this._replace(gate)
+    else if (step.kind === 'restart' && gate !== undefined) this._replaceGate(gate)
     else if (step.kind === 'drain' && gate !== undefined) gate.isDraining = true
     else if (step.kind === 'submit' && gate !== undefined) this._submitNew(gate)
-    else if (request !== undefined) this._applyTo(step, request)
+    else if (request !== undefined) this._applyToRequest(step, request)
   }
 
-  private _applyTo (step: Command, request: CallerRequest): void {
+  private _applyToRequest (step: Command, request: CallerRequest): void {
     if (step.kind === 'copy') this._deliver(request, request.submissions.at(step.at % request.submissions.length))
-    else if (step.kind === 'retry') this._tryAgain(request)
+    else if (step.kind === 'retry') this._retry(request)
     else if (step.kind === 'cancel') this._findRun(request.submissions.at(-1))?.abortController.abort()
   }
 
-  private _submitNew (gate: GateLife): void {
+  private _submitNew (gate: GateInstance): void {
     const request: CallerRequest = { marker: `m${this._requests.length}`, submissions: [], claims: [] }
     this._requests.push(request)
     this._submitAt(request, gate)
   }
 
-  private _submitAt (request: CallerRequest, gate: GateLife): void {
+  private _submitAt (request: CallerRequest, gate: GateInstance): void {
     let session = this._sessions.get(gate)
     session ??= gate.sessions.open('c').map(opened => opened.id).orDefault('')
     this._sessions.set(gate, session)
@@ -187,15 +187,15 @@
     this._deliver(request, submission)
   }
 
-  /** As the client library does: asks again at the home, and goes elsewhere only when nothing can have run. */
-  private _tryAgain (request: CallerRequest): void {
+  /** As the client library does: submits again to the home gate, and to the other gate only if nothing can have run. */
+  private _retry (request: CallerRequest): void {
     const submission = request.submissions.at(-1)
     const claim = this._readClaim(submission)
     if (claim === undefined) return this._deliver(request, submission)
     request.claims.push(claim.execution)
     const mayHaveRun = request.claims.some(execution => execution !== 'notRun')
     const other = this._gates.find(gate => gate.address !== submission?.home)
-    if (other !== undefined && maySubmitAnew({ error: claim, isUnrepeatable: true, mayHaveRun })) {
+    if (other !== undefined && canResubmit({ error: claim, isUnrepeatable: true, mayHaveRun })) {
       request.claims.length = 0
       this._submitAt(request, other)
     }
@@ -206,7 +206,7 @@
     if (gate === undefined || submission === undefined) return
     const refused = gate.requests.submit(submission).swap().toMaybe().extractNullable()
     if (refused === null || submission !== request.submissions.at(-1)) return
-    // A gate that does not know the session says that it may have run; only the caller knows better.
+    // A gate without the session reports `mayHaveRun`; only the caller can tell that it did not run.
     request.claims.push(readRefusal(createRefusal(refused)).execution)
   }
 
@@ -219,11 +219,11 @@
   private _readClaim (submission: SubmitRequest | undefined) {
     const run = this._findRun(submission)
     if (run?.outcome === undefined || run.outcome.kind === 'whole') return undefined
-    const { event } = createEndEvent(run, run.outcome)
+    const { event } = createOutcomeEvent(run, run.outcome)
     return event.case === 'refusal' ? readRefusal(event.value) : undefined
   }
 
-  /** Runs of the unrepeatable stage over all submissions of the request, whatever became of their gates. */
+  /** Counts runs of the unrepeatable stage over all submissions of the request, including those at crashed gates. */
   private _countRuns (request: CallerRequest): number {
     const ids = new Set(request.submissions.map(item => `${item.session}/${item.number}`))
     return this._harness.adapter.ran.filter(attempt => {
@@ -232,23 +232,23 @@
     }).length
   }
 
-  private _replace (gate: GateLife): void {
-    gate.die()
+  private _replaceGate (gate: GateInstance): void {
+    gate.kill()
     this._gates[this._gates.indexOf(gate)] = this._createGate(gate.address)
   }
 
-  private _createGate (address: string): GateLife {
+  private _createGate (address: string): GateInstance {
     const incarnation = `i${++this._nextId}`
-    return new GateLife(this._harness, address, incarnation, () => `${address}-${++this._nextId}`)
+    return new GateInstance(this._harness, address, incarnation, () => `${address}-${++this._nextId}`)
   }
 }
 
-/** No timers are involved, so a fixed number of microtask turns lets all that can go on go on. */
-async function settleMicrotasks (): Promise<void> {
+/** No timers are involved, so a fixed number of microtask turns completes all pending work. */
+async function flushMicrotasks (): Promise<void> {
   for (let turn = 0; turn < 120; turn++) await Promise.resolve()
 }
 
-test(`an unrepeatable request runs at most once, and never after it was refused as not run (${HISTORIES} histories, seed ${SEED})`, async () => {
+test(`an unrepeatable request runs at most once, and never if it was refused as not run (${HISTORIES} histories, seed ${SEED})`, async () => {
   await fc.assert(fc.asyncProperty(commands, fc.array(callKinds, { maxLength: 8 }), async (steps, script) => {
     const history = new History(script)
     await history.run(steps)
@@ -257,7 +257,7 @@
 })
 
 test('the histories reached every case that matters', () => {
-  for (const [name, count] of Object.entries(reached)) assert.ok(count > 100, `${name}: ${count}`)
+  for (const [name, count] of Object.entries(reachedCounts)) assert.ok(count > 100, `${name}: ${count}`)
 })
 
 test.run()
--- a/src/steward/main.ts
+++ b/src/steward/main.ts
@@ -7,7 +7,7 @@
 
 runServerProgram({
   name: 'pepperwood-steward',
-  description: 'Takes in the configuration, watches upstreams and members, and pushes its view to gates',
+  description: 'Reads the configuration, watches upstreams and members, and pushes its view to gates',
   schema: StewardSettingsSchema,
   create: context => new Steward(context)
 })
--- a/src/steward/steward.ts
+++ b/src/steward/steward.ts
@@ -1,6 +1,6 @@
 /**
- * A steward: one per host. It takes in the configuration and the host list, watches upstreams, keeps membership
- * and pushes its view to gates.
+ * A steward, one per host: reads the configuration and the host list, watches upstreams, maintains membership and
+ * pushes its view to gates.
  */
 import { parseAddress } from '../base/common/address.ts'
 import { Disposable } from '../base/common/disposable.ts'
@@ -33,7 +33,7 @@
   readonly clock: IClock
   readonly random: IRandom
   readonly log: ILogService
-  /** Grows with each boot of the host. */
+  /** Increases with each process start at this address. */
   readonly incarnation: number
 }
 
@@ -46,7 +46,7 @@
   private readonly _decisions: DecisionLog
   private readonly _metrics = new MetricsRegistry()
   private readonly _onDidStop = this._register(new Emitter<void>())
-  /** Fired at the end of a planned stop. */
+  /** Fires at the end of a planned stop. */
   readonly onDidStop = this._onDidStop.event
   private _hosts: readonly Host[] = []
   private _isDraining = false
@@ -68,16 +68,16 @@
     this._addMetrics()
   }
 
-  /** Starts serving; resolves when the steward is ready, which does not need the platform or peers to live. */
+  /** Resolves when the steward is ready, even if neither the platform nor any peer can be reached. */
   async start (): Promise<void> {
     await this._listen()
     const configurationWatcher = this._watchValue(CONFIGURATION_KEY, value => this._member.offer({ text: value.value, revision: value.revision }))
-    this._watchValue(HOSTS_KEY, value => this._takeHosts(value))
-    this._startUpstreamDuties()
+    this._watchValue(HOSTS_KEY, value => this._acceptHostList(value))
+    this._startUpstreamServices()
     await this._member.join(configurationWatcher.firstRead)
   }
 
-  /** A planned stop: peers are told, and take over at once. */
+  /** Performs a planned stop: peers are notified and take over its tasks at once. */
   async stop (): Promise<void> {
     if (this._isDraining) return
     this._isDraining = true
@@ -102,17 +102,17 @@
 
   private _watchValue (key: string, onDidRead: (value: PlatformValue) => void): ValueWatcher {
     const { settings, log } = this._options
-    const calls = this._metrics.createCounter(`platform_calls_${key.split('/')[1]}_total`, 'Calls to the platform', ['result'])
+    const callCounter = this._metrics.createCounter(`platform_calls_${key.split('/')[1]}_total`, 'Calls to the platform', ['result'])
     const reader = new PlatformReader({
       addresses: settings.platform,
       localAddress: settings.local_ip,
-      onDidCompleteCall: isOk => calls.inc({ result: isOk ? 'ok' : 'failed' })
+      onDidCompleteCall: isOk => callCounter.inc({ result: isOk ? 'ok' : 'failed' })
     })
     const isOnDuty = () => isPlatformWatcher(settings.hall, settings.address, this._member.membership.listLive())
     return this._register(new ValueWatcher({ reader, key, log, shouldWatch: isOnDuty, onDidRead }))
   }
 
-  private _takeHosts (value: PlatformValue): void {
+  private _acceptHostList (value: PlatformValue): void {
     parseHostList(value.value).caseOf({
       Left: error => this._options.log.warn('hosts_refused', { code: error.code, reason: error.message }),
       Right: hosts => {
@@ -124,26 +124,26 @@
 
   private _markHostLeaving (host: Host): void {
     for (const upstream of this._listUpstreams().filter(item => item.address === host.address)) {
-      const known = this._member.facts.get(formatLoadSubject(upstream.name))?.incarnation ?? 0
-      markLeaving(this._member.facts, upstream.name, host.boot === 0 ? known : host.boot, 'host list')
+      const knownIncarnation = this._member.facts.get(formatLoadSubject(upstream.name))?.incarnation ?? 0
+      markLeaving(this._member.facts, upstream.name, host.boot === 0 ? knownIncarnation : host.boot, 'host list')
     }
   }
 
-  private _startUpstreamDuties (): void {
+  private _startUpstreamServices (): void {
     const { settings, clock, log } = this._options
     const adapter = new HttpUpstreamAdapter({ localAddress: settings.local_ip })
     this._register(adapter)
-    const reads = this._metrics.createCounter('upstream_reports_total', 'Reports read from upstreams', ['result'])
-    const listDuties = (isMine: (upstream: Upstream, live: readonly Member[]) => boolean) => {
+    const reportCounter = this._metrics.createCounter('upstream_reports_total', 'Reports read from upstreams', ['result'])
+    const listAssignedUpstreams = (isAssigned: (upstream: Upstream, live: readonly Member[]) => boolean) => {
       const live = this._member.membership.listLive()
-      return this._listUpstreams().filter(upstream => isMine(upstream, live))
+      return this._listUpstreams().filter(upstream => isAssigned(upstream, live))
     }
     this._register(new UpstreamWatcher({
       adapter,
       clock,
       facts: this._member.facts,
-      listWatched: () => listDuties((upstream, live) => isUpstreamWatcher(upstream.name, settings.address, live)),
-      onDidRead: isOk => reads.inc({ result: isOk ? 'ok' : 'failed' }),
+      listWatched: () => listAssignedUpstreams((upstream, live) => isUpstreamWatcher(upstream.name, settings.address, live)),
+      onDidRead: isOk => reportCounter.inc({ result: isOk ? 'ok' : 'failed' }),
       periodMs: settings.report_period_ms
     }))
     this._register(new OrderService({
@@ -154,16 +154,16 @@
       decisions: this._decisions,
       log,
       listManagedUpstreams: () => this._member.isReady && !this._isDraining
-        ? listDuties((upstream, live) => isOrderIssuer(upstream.hall, settings.address, live))
+        ? listAssignedUpstreams((upstream, live) => isOrderIssuer(upstream.hall, settings.address, live))
         : [],
-      hasMajority: () => this._hearsMajority()
+      hasMajority: () => this._hasMajority()
     }))
   }
 
-  private _hearsMajority (): boolean {
+  private _hasMajority (): boolean {
     const members = this._member.membership.listMembers().filter(member => member.state !== 'left')
-    const heard = members.filter(member => member.state === 'alive')
-    return heard.length * 2 > members.length
+    const liveMembers = members.filter(member => member.state === 'alive')
+    return liveMembers.length * 2 > members.length
   }
 
   private _listUpstreams (): readonly Upstream[] {
@@ -171,8 +171,8 @@
   }
 
   private _listSeeds (): readonly string[] {
-    const listed = this._hosts.filter(host => host.kind === 'entry' && host.state === 'live').map(host => host.address)
-    return [...new Set([...this._options.settings.seeds, ...listed])]
+    const listedSeeds = this._hosts.filter(host => host.kind === 'entry' && host.state === 'live').map(host => host.address)
+    return [...new Set([...this._options.settings.seeds, ...listedSeeds])]
   }
 
   private _addMetrics (): void {
