--- a/src/cli/checkCommands.ts
+++ b/src/cli/checkCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `pepperwood check FILE` and `pepperwood config check FILE`: what is wrong with a file, changing nothing.
+ * `pepperwood check FILE` and `pepperwood config check FILE`: validate a file without applying it.
  */
 import { readFileSync } from 'node:fs'
 import { defineCommand } from 'citty'
@@ -13,7 +13,7 @@
 import { StewardSettingsSchema } from '../steward/stewardSettings.ts'
 import { jsonArgument, writeLine } from './commonArgs.ts'
 
-const fileArgument = { type: 'positional', description: 'The file', valueHint: 'FILE', required: true } as const
+const fileArgument = { type: 'positional', description: 'File to check', valueHint: 'FILE', required: true } as const
 
 function checkSettingsFile (file: string, program: string): PepperwoodError | undefined {
   if (program === 'gate') return loadSettings(file, GateSettingsSchema).swap().toMaybe().extract()
@@ -23,7 +23,7 @@
   return new PepperwoodError({ name: 'settingsInvalid', message: 'expected gate, steward, standin or profile', place: '--program', value: program })
 }
 
-function finish (problems: readonly PepperwoodError[], file: string, isJson: boolean): never {
+function reportProblemsAndExit (problems: readonly PepperwoodError[], file: string, isJson: boolean): never {
   if (isJson) writeLine(JSON.stringify({ file, problems: problems.map(({ code, resultName, place, value, message }) => ({ code, name: resultName, place, value, message })) }))
   else if (problems.length === 0) writeLine(`${file}: no problems`)
   else for (const problem of problems) process.stderr.write(`${problem.toString()}\n`)
@@ -34,12 +34,12 @@
   meta: { name: 'check', description: 'Check a settings file. Example: pepperwood check --program gate gate.toml' },
   args: {
     file: fileArgument,
-    program: { type: 'string', description: 'Whose settings: gate, steward, standin or profile', default: 'gate' },
+    program: { type: 'string', description: 'Type of the file: settings of a gate, steward or standin, or a load profile (profile)', default: 'gate' },
     json: jsonArgument
   },
   run ({ args }) {
     const problem = checkSettingsFile(args.file, args.program)
-    finish(problem === undefined ? [] : [problem], args.file, args.json)
+    reportProblemsAndExit(problem === undefined ? [] : [problem], args.file, args.json)
   }
 })
 
@@ -53,11 +53,11 @@
     } catch (thrown) {
       exitWith(new PepperwoodError({ name: 'configurationUnreadable', message: String(thrown), place: args.file }), exitCodes.usage)
     }
-    finish(checkDocument(text), args.file, args.json)
+    reportProblemsAndExit(checkDocument(text), args.file, args.json)
   }
 })
 
 export const configCommand = defineCommand({
-  meta: { name: 'config', description: 'Work on configuration documents' },
+  meta: { name: 'config', description: 'Check configuration documents' },
   subCommands: { check: configCheckCommand }
 })
--- a/src/cli/demoProfile.ts
+++ b/src/cli/demoProfile.ts
@@ -1,5 +1,5 @@
 /**
- * The fleet of the demo: small enough for one process.
+ * The load profile of the demo: a fleet small enough for one process.
  */
 import { Schema } from 'effect'
 import { LoadProfileSchema } from '../load/loadProfile.ts'
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 /**
- * The program `pepperwood`: the operator's and the caller's command line.
+ * The program `pepperwood`: the command line for operators and callers.
  */
 import { defineCommand, runMain } from 'citty'
 import { checkCommand, configCommand } from './checkCommands.ts'
@@ -10,7 +10,7 @@
 const command = defineCommand({
   meta: {
     name: 'pepperwood',
-    description: 'Drive and inspect a pepperwood fleet. Exit codes: 0 done, 1 refused or problems found, 2 wrong usage, 3 unreachable'
+    description: 'Operate and inspect a pepperwood fleet. Exit codes: 0 success, 1 refused or problems found, 2 usage error, 3 unreachable'
   },
   subCommands: {
     check: checkCommand,
--- a/src/cli/operatorCommands.ts
+++ b/src/cli/operatorCommands.ts
@@ -1,26 +1,26 @@
 /**
- * `pepperwood dump`, `explain`, `drain` and `watch`: what an operator asks of a process.
+ * `pepperwood dump`, `explain`, `drain` and `watch`: operators' requests to one process.
  */
 import { defineCommand } from 'citty'
 import { exitCodes } from '../services/program/node/program.ts'
 import { createOperatorClient } from '../services/rpc/node/rpcClients.ts'
-import { callFirst, gateArgument, jsonArgument, parseAddresses, writeLine } from './commonArgs.ts'
+import { callFirstReachable, gateArgument, jsonArgument, parseAddresses, writeLine } from './commonArgs.ts'
 
 export const dumpCommand = defineCommand({
-  meta: { name: 'dump', description: 'Print the whole state of a process as JSON. Example: pepperwood dump --at 10.0.0.1:8000' },
+  meta: { name: 'dump', description: 'Print the complete state of a process as JSON. Example: pepperwood dump --at 10.0.0.1:8000' },
   args: { at: gateArgument },
   async run ({ args }) {
-    const answer = await callFirst(parseAddresses(args.at), (address, timeoutMs) => createOperatorClient(address).dump({}, { timeoutMs }))
+    const answer = await callFirstReachable(parseAddresses(args.at), (address, timeoutMs) => createOperatorClient(address).dump({}, { timeoutMs }))
     writeLine(JSON.stringify(JSON.parse(answer.json), undefined, 2))
     process.exit(exitCodes.ok)
   }
 })
 
 export const explainCommand = defineCommand({
-  meta: { name: 'explain', description: 'Tell what was decided about a request. Example: pepperwood explain --at 10.0.0.1:8000 SESSION/NUMBER' },
+  meta: { name: 'explain', description: 'Show the decisions made for a request, and its costs. Example: pepperwood explain --at 10.0.0.1:8000 SESSION/NUMBER' },
   args: { at: gateArgument, id: { type: 'positional', description: 'The request\'s id', valueHint: 'SESSION/NUMBER', required: true }, json: jsonArgument },
   async run ({ args }) {
-    const answer = await callFirst(parseAddresses(args.at), (address, timeoutMs) => createOperatorClient(address).explain({ requestId: args.id }, { timeoutMs }))
+    const answer = await callFirstReachable(parseAddresses(args.at), (address, timeoutMs) => createOperatorClient(address).explain({ requestId: args.id }, { timeoutMs }))
     if (answer.problem !== undefined) {
       process.stderr.write(`${answer.problem.code} ${answer.problem.name}: ${answer.problem.message} (found ${answer.problem.value})\n`)
       process.exit(exitCodes.refused)
@@ -37,10 +37,10 @@
 })
 
 export const drainCommand = defineCommand({
-  meta: { name: 'drain', description: 'Start a planned stop, or tell how far it is. Example: pepperwood drain --at 10.0.0.1:8000' },
+  meta: { name: 'drain', description: 'Start draining a process, or show the progress of the drain. Example: pepperwood drain --at 10.0.0.1:8000' },
   args: { at: gateArgument, json: jsonArgument },
   async run ({ args }) {
-    const answer = await callFirst(parseAddresses(args.at), (address, timeoutMs) => createOperatorClient(address).drain({}, { timeoutMs }))
+    const answer = await callFirstReachable(parseAddresses(args.at), (address, timeoutMs) => createOperatorClient(address).drain({}, { timeoutMs }))
     const { requestsInProgress, sessions } = answer
     writeLine(args.json ? JSON.stringify({ requestsInProgress, sessions }) : `requests_in_progress=${requestsInProgress} sessions=${sessions}`)
     process.exit(exitCodes.ok)
@@ -48,7 +48,7 @@
 })
 
 export const watchCommand = defineCommand({
-  meta: { name: 'watch', description: 'Follow the events of a process. Example: pepperwood watch --at 10.0.0.1:8000' },
+  meta: { name: 'watch', description: 'Print the log events of a process as they occur. Example: pepperwood watch --at 10.0.0.1:8000' },
   args: { at: gateArgument, json: jsonArgument },
   async run ({ args }) {
     const [address = ''] = parseAddresses(args.at)
--- a/src/cli/requestCommands.ts
+++ b/src/cli/requestCommands.ts
@@ -1,20 +1,20 @@
 /**
- * `pepperwood locate` and `pepperwood submit`: what a caller does, from a shell.
+ * `pepperwood locate` and `pepperwood submit`: callers' requests from a shell.
  */
 import { readFileSync } from 'node:fs'
 import { defineCommand } from 'citty'
 import { PepperwoodClient } from '../client/pepperwoodClient.ts'
 import { exitCodes } from '../services/program/node/program.ts'
 import { createRequestClient } from '../services/rpc/node/rpcClients.ts'
-import { callFirst, gateArgument, jsonArgument, parseAddresses, parseCount, writeLine } from './commonArgs.ts'
+import { callFirstReachable, gateArgument, jsonArgument, parseAddresses, parsePositiveNumber, writeLine } from './commonArgs.ts'
 
-const MAX_WAIT_MS = '4000'
+const DEFAULT_DEADLINE_MS = '4000'
 
 export const locateCommand = defineCommand({
-  meta: { name: 'locate', description: 'Ask which gates to use. Example: pepperwood locate --at 10.0.0.1:8000 --customer northgate' },
+  meta: { name: 'locate', description: 'List the gates to use for a customer. Example: pepperwood locate --at 10.0.0.1:8000 --customer northgate' },
   args: { at: gateArgument, customer: { type: 'string', description: 'The customer', default: '' }, json: jsonArgument },
   async run ({ args }) {
-    const answer = await callFirst(parseAddresses(args.at), (address, timeoutMs) => createRequestClient(address).locate({ customer: args.customer }, { timeoutMs }))
+    const answer = await callFirstReachable(parseAddresses(args.at), (address, timeoutMs) => createRequestClient(address).locate({ customer: args.customer }, { timeoutMs }))
     const gates = answer.gates.map(({ address, hall, keepMs }) => ({ address, hall, keepMs }))
     if (args.json) writeLine(JSON.stringify({ gates, epoch: answer.configuration?.epoch, version: answer.configuration?.version }))
     else for (const gate of gates) writeLine(`${gate.address} hall=${gate.hall} keep_ms=${gate.keepMs}`)
@@ -27,10 +27,10 @@
   args: {
     at: gateArgument,
     customer: { type: 'string', description: 'The customer', required: true },
-    key: { type: 'string', description: 'The customer\'s key; better given in PEPPERWOOD_KEY', default: '' },
+    key: { type: 'string', description: 'The customer\'s key; prefer the environment variable PEPPERWOOD_KEY', default: '' },
     pipeline: { type: 'string', description: 'The pipeline', required: true },
-    input: { type: 'string', description: 'The input; read from stdin when it is not given' },
-    deadline: { type: 'string', description: 'Milliseconds until the answer must be here', default: MAX_WAIT_MS },
+    input: { type: 'string', description: 'The input; read from stdin if omitted' },
+    deadline: { type: 'string', description: 'Deadline for the complete answer, in milliseconds', default: DEFAULT_DEADLINE_MS },
     unrepeatable: { type: 'boolean', description: 'Run at most once', default: false },
     json: jsonArgument
   },
@@ -43,10 +43,10 @@
     const result = await client.submit({
       pipeline: args.pipeline,
       input: args.input ?? readFileSync(0, 'utf8'),
-      deadlineMs: parseCount(args.deadline, '--deadline'),
+      deadlineMs: parsePositiveNumber(args.deadline, '--deadline'),
       unrepeatable: args.unrepeatable,
       onText: text => { if (!args.json) process.stdout.write(text) },
-      onRestart: () => { if (!args.json) process.stderr.write('\nsubmitted anew: the text so far is void\n') }
+      onRestart: () => { if (!args.json) process.stderr.write('\nrequest submitted again: discard the text received so far\n') }
     })
     client.dispose()
     result.caseOf({
--- a/src/services/log/node/boundedStream.ts
+++ b/src/services/log/node/boundedStream.ts
@@ -1,39 +1,39 @@
 /**
- * Writes lines to a pipe without ever waiting for its reader: what does not fit is counted and left out.
+ * Writes lines to a pipe without waiting for its reader: lines that exceed the buffer limit are dropped and counted.
  */
 
-/** What is needed of an output stream. */
+/** The part of a writable stream that `BoundedStream` uses. */
 export interface ILineSink {
   readonly writableLength: number
   write (text: string): unknown
 }
 
-/** A reader that is this far behind gets no more until it catches up. */
-const MAX_UNREAD_BYTES = 256 * 1024
+/** With more unread data than this in the buffer, lines are dropped until the reader catches up. */
+const MAX_BUFFERED_BYTES = 256 * 1024
 
 export class BoundedStream {
-  private _leftOut = 0
+  private _droppedCount = 0
 
-  constructor (private readonly _sink: ILineSink, private readonly _maxUnreadBytes = MAX_UNREAD_BYTES) {}
+  constructor (private readonly _sink: ILineSink, private readonly _maxBufferedBytes = MAX_BUFFERED_BYTES) {}
 
   write (line: string): void {
-    if (this._sink.writableLength + line.length > this._maxUnreadBytes) {
-      this._leftOut++
+    if (this._sink.writableLength + line.length > this._maxBufferedBytes) {
+      this._droppedCount++
       return
     }
-    if (this._leftOut > 0) {
-      this._sink.write(`event=lines_unread count=${this._leftOut}\n`)
-      this._leftOut = 0
+    if (this._droppedCount > 0) {
+      this._sink.write(`event=lines_unread count=${this._droppedCount}\n`)
+      this._droppedCount = 0
     }
     this._sink.write(line)
   }
 }
 
-/** Standard output as a sink that does not block: Node.js writes to pipes synchronously unless told otherwise. */
+/** Returns standard output as a non-blocking sink: by default, Node.js writes to pipes synchronously. */
 export function openStandardOutput (): ILineSink {
   const handle = (process.stdout as { readonly _handle?: { setBlocking? (isBlocking: boolean): void } })._handle
   handle?.setBlocking?.(false)
-  // A reader that goes away must not end the process.
+  // Without a listener, the error that follows when the reader closes the pipe (EPIPE) would end the process.
   process.stdout.on('error', () => {})
   return process.stdout
 }
--- a/src/services/log/node/logger.ts
+++ b/src/services/log/node/logger.ts
@@ -1,5 +1,5 @@
 /**
- * Structured logs: one line of key=value pairs for each event, written through consola.
+ * Structured logging: writes each event as one line of key=value pairs through consola.
  */
 import { createConsola } from 'consola'
 import type { ConsolaInstance } from 'consola'
@@ -10,7 +10,7 @@
 
 export type LogFields = Readonly<Record<string, string | number | boolean>>
 
-/** An event as it was logged. */
+/** A logged event and its formatted line, without the time. */
 export interface LogEvent {
   readonly name: string
   readonly line: string
@@ -25,24 +25,24 @@
 
 export interface LogServiceOptions {
   readonly program: string
-  /** Nothing is printed, but events are still fired. */
+  /** Prints nothing; `onDidLog` still fires. */
   readonly silent?: boolean
-  /** Where lines are written; standard error by default. */
+  /** Defaults to standard error. */
   readonly stream?: { write (line: string): unknown }
-  /** Bounds the lines of each event; without it all are written. */
+  /** Limits the lines of each event; unlimited if not set. */
   readonly budget?: LineBudget
 }
 
-/** How often it is told which lines were left out. */
-const LEFT_OUT_PERIOD_MS = 5000
-const PLAIN_VALUE = /^[\w.:/@+-]*$/
+/** How often the counts of dropped lines are logged. */
+const DROPPED_REPORT_PERIOD_MS = 5000
+const UNQUOTED_VALUE = /^[\w.:/@+-]*$/
 
 function formatValue (value: string | number | boolean): string {
   const text = String(value)
-  return PLAIN_VALUE.test(text) && text !== '' ? text : JSON.stringify(text)
+  return UNQUOTED_VALUE.test(text) && text !== '' ? text : JSON.stringify(text)
 }
 
-/** One event as a line; keys keep the order in which they are given. */
+/** Formats an event as one line; keys keep the order of the fields. */
 function formatLine (level: string, program: string, event: string, fields: LogFields): string {
   const pairs = Object.entries({ level, program, event, ...fields })
   return pairs.map(([key, value]) => `${key}=${formatValue(value)}`).join(' ')
@@ -58,7 +58,7 @@
   constructor (options: LogServiceOptions) {
     this._program = options.program
     this._budget = options.budget
-    if (options.budget !== undefined) startInterval(LEFT_OUT_PERIOD_MS, () => this._reportLeftOut())
+    if (options.budget !== undefined) startInterval(DROPPED_REPORT_PERIOD_MS, () => this._reportDroppedLines())
     const stream = options.stream ?? process.stderr
     this._sink = createConsola({
       level: options.silent === true ? -999 : 3,
@@ -69,25 +69,26 @@
   }
 
   info (event: string, fields: LogFields = {}): void {
-    if (this._mayWrite(event, false)) this._sink.info(this._record('info', event, fields))
+    if (this._tryAcquire(event, false)) this._sink.info(this._record('info', event, fields))
   }
 
   warn (event: string, fields: LogFields = {}): void {
-    if (this._mayWrite(event, true)) this._sink.warn(this._record('warn', event, fields))
+    if (this._tryAcquire(event, true)) this._sink.warn(this._record('warn', event, fields))
   }
 
   error (event: string, fields: LogFields = {}): void {
-    if (this._mayWrite(event, true)) this._sink.error(this._record('error', event, fields))
+    if (this._tryAcquire(event, true)) this._sink.error(this._record('error', event, fields))
   }
 
-  private _mayWrite (event: string, isFailure: boolean): boolean {
-    return this._budget === undefined || this._budget.take(event, isFailure)
+  private _tryAcquire (event: string, isFailure: boolean): boolean {
+    return this._budget === undefined || this._budget.tryAcquire(event, isFailure)
   }
 
-  private _reportLeftOut (): void {
-    for (const { event, count } of this._budget?.takeLeftOut() ?? []) this._sink.warn(this._record('warn', 'lines_left_out', { of: event, count }))
+  private _reportDroppedLines (): void {
+    for (const { event, count } of this._budget?.collectDroppedLines() ?? []) this._sink.warn(this._record('warn', 'lines_left_out', { of: event, count }))
   }
 
+  /** Formats the line and fires `onDidLog`. */
   private _record (level: string, event: string, fields: LogFields): string {
     const line = formatLine(level, this._program, event, fields)
     this._onDidLog.fire({ name: event, line })
--- a/src/services/log/test/boundedLog.test.ts
+++ b/src/services/log/test/boundedLog.test.ts
@@ -7,23 +7,23 @@
 
 const test = suite('boundedLog')
 
-test('frequent events are bounded, rare ones are not crowded out, and failures go last', () => {
+test('a frequent event is limited to its rate, and neither other events nor failures of the same name use its budget', () => {
   const clock = new VirtualClock()
   const budget = new LineBudget({ clock, linesPerSecond: 10, failureLinesPerSecond: 30 })
   let written = 0
-  for (let index = 0; index < 1000; index++) if (budget.take('often', false)) written++
+  for (let index = 0; index < 1000; index++) if (budget.tryAcquire('often', false)) written++
   assert.is(written, 40)
-  assert.ok(budget.take('rare', false))
-  assert.ok(budget.take('often', true))
-  assert.equal(budget.takeLeftOut(), [{ event: 'often', count: 960 }])
-  assert.equal(budget.takeLeftOut(), [])
+  assert.ok(budget.tryAcquire('rare', false))
+  assert.ok(budget.tryAcquire('often', true))
+  assert.equal(budget.collectDroppedLines(), [{ event: 'often', count: 960 }])
+  assert.equal(budget.collectDroppedLines(), [])
   clock.advance(1000)
   written = 0
-  for (let index = 0; index < 100; index++) if (budget.take('often', false)) written++
+  for (let index = 0; index < 100; index++) if (budget.tryAcquire('often', false)) written++
   assert.is(written, 10)
 })
 
-test('a reader that does not read costs lines, never time, and is told how many', () => {
+test('lines are dropped without blocking while the reader is behind, and their count is written once it catches up', () => {
   const sink = { writableLength: 0, lines: [] as string[], write (text: string) { sink.lines.push(text) } }
   const stream = new BoundedStream(sink, 100)
   stream.write('first\n')
@@ -35,7 +35,7 @@
   assert.equal(sink.lines, ['first\n', 'event=lines_unread count=2\n', 'fourth\n'])
 })
 
-test('what the budget leaves out is not written', () => {
+test('lines over the budget are not written', () => {
   const lines: string[] = []
   const budget = new LineBudget({ clock: new VirtualClock(), linesPerSecond: 1 })
   const log = new LogService({ program: 'test', stream: { write: line => lines.push(line) }, budget })
--- a/src/services/metrics/node/metricsServer.ts
+++ b/src/services/metrics/node/metricsServer.ts
@@ -1,5 +1,5 @@
 /**
- * A process's metrics, for collection over HTTP.
+ * The metrics of a process, and the HTTP server that exposes them and the operators' endpoints.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -8,7 +8,7 @@
 
 const LATENCY_BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000]
 
-/** Creates the metrics of one process; names get the product's prefix. */
+/** Creates and registers the metrics of one process; every name gets the prefix `pepperwood_`. */
 export class MetricsRegistry {
   readonly registry = new Registry()
 
@@ -16,6 +16,7 @@
     return new Counter({ name: `pepperwood_${name}`, help, labelNames: [...labelNames], registers: [this.registry] })
   }
 
+  /** `collect` is called on every scrape. */
   createGauge (name: string, help: string, collect: () => number): Gauge {
     return new Gauge({
       name: `pepperwood_${name}`,
@@ -29,7 +30,7 @@
     return new Histogram({ name: `pepperwood_${name}`, help, labelNames: [...labelNames], buckets: LATENCY_BUCKETS_MS, registers: [this.registry] })
   }
 
-  /** What every process tells of itself. */
+  /** Adds the metrics common to all processes: resident memory and processor time. */
   addProcessMetrics (): void {
     this.createGauge('process_resident_bytes', 'Resident memory', () => process.memoryUsage.rss())
     this.createGauge('process_cpu_seconds', 'Processor time used', () => {
@@ -39,21 +40,21 @@
   }
 }
 
-/** Answers questions and orders of operators under one path; the path's rest is handed on. */
+/** Handles operators' requests to `path` and everything below it. */
 export interface OperatorHandler {
   readonly path: string
-  /** Undefined where there is nothing of that name, or the method means nothing. */
+  /** `rest` is the part of the URL after `path` and a slash. Returns undefined (404) for an unknown name or unsupported method. */
   readonly answer: (method: string, rest: string) => object | undefined
 }
 
-/** Serves `/metrics` and what operators may ask; any other path is not found. */
+/** Serves `/metrics` and the operators' endpoints; responds 404 to any other path. */
 export class MetricsServer extends Disposable {
   private readonly _server: Server
 
   constructor (private readonly _metrics: MetricsRegistry, private readonly _handlers: readonly OperatorHandler[] = []) {
     super()
     this._server = createServer((request, response) => {
-      if (request.url !== '/metrics') return this._answerOperator(request, response)
+      if (request.url !== '/metrics') return this._answerOperatorRequest(request, response)
       this._metrics.registry.metrics().then(
         text => response.writeHead(200, { 'content-type': this._metrics.registry.contentType }).end(text),
         () => response.writeHead(500).end()
@@ -62,7 +63,7 @@
     this._register(toDisposable(() => { this._server.close() }))
   }
 
-  private _answerOperator ({ method = 'GET', url = '/' }: IncomingMessage, response: ServerResponse): void {
+  private _answerOperatorRequest ({ method = 'GET', url = '/' }: IncomingMessage, response: ServerResponse): void {
     const handler = this._handlers.find(({ path }) => url === path || url.startsWith(`${path}/`))
     const answer = handler?.answer(method, url.slice(handler.path.length + 1))
     if (answer === undefined) response.writeHead(404).end()
--- a/src/services/program/node/program.ts
+++ b/src/services/program/node/program.ts
@@ -1,5 +1,5 @@
 /**
- * What the programs share: how they start, which settings of the environment they refuse, and how they end.
+ * Startup and shutdown shared by all programs: command line, environment checks, settings, signals and exit codes.
  */
 import { randomInt } from 'node:crypto'
 import { defineCommand, runMain } from 'citty'
@@ -17,24 +17,25 @@
 /** Exit codes of all programs. */
 export const exitCodes = {
   ok: 0,
-  /** The work was done and found something wrong, such as a refused request or an invalid document. */
+  /** The command ran, and the result is negative, such as a refused request or an invalid document. */
   refused: 1,
-  /** The command line, the settings or the environment are wrong. */
+  /** The command line, the settings or the environment are invalid. */
   usage: 2,
-  /** The other side could not be reached. */
+  /** The remote process could not be reached. */
   unreachable: 3
 } as const
 
 const MAX_SEED = 2 ** 31 - 1
 
-/** A server of one process, as the start-up code sees it. */
+/** The server that a process runs. */
 export interface IServerProgram extends IDisposable {
+  /** The process exits when this fires. */
   readonly onDidStop: Event<void>
   start (): Promise<void>
   stop (): Promise<void>
 }
 
-/** What every server program is built from. */
+/** The dependencies passed to every server program. */
 export interface ServerContext<S> {
   readonly settings: S
   readonly clock: SystemClock
@@ -50,38 +51,38 @@
   readonly create: (context: ServerContext<S>) => IServerProgram
 }
 
-/** The system's programs do not use io_uring, and refuse to start where it is switched on. */
+/** Returns an error if the environment enables io_uring in libuv, which the programs must not use. */
 export function checkEnvironment (environment: Readonly<Record<string, string | undefined>>): PepperwoodError | undefined {
   const value = environment.UV_USE_IO_URING
   if (value === undefined || value === '' || value === '0') return undefined
-  return new PepperwoodError({ name: 'settingsInvalid', message: 'io_uring must not be switched on', place: 'environment: UV_USE_IO_URING', value })
+  return new PepperwoodError({ name: 'settingsInvalid', message: 'io_uring must not be enabled', place: 'environment: UV_USE_IO_URING', value })
 }
 
 export function createRandom (): IRandom {
   return new SeededRandom(randomInt(MAX_SEED))
 }
 
-/** Ends the process with an error on stderr. */
+/** Writes the error to stderr and ends the process. */
 export function exitWith (error: PepperwoodError, code: number): never {
   process.stderr.write(`${error.toString()}\n`)
   process.exit(code)
 }
 
 async function runServer<S, I> (options: ServerProgramOptions<S, I>, file: string): Promise<void> {
-  const refused = checkEnvironment(process.env)
-  if (refused !== undefined) exitWith(refused, exitCodes.usage)
-  const loaded = loadSettings(file, options.schema)
-  loaded.ifLeft(error => exitWith(error, exitCodes.usage))
+  const environmentError = checkEnvironment(process.env)
+  if (environmentError !== undefined) exitWith(environmentError, exitCodes.usage)
+  const loadedSettings = loadSettings(file, options.schema)
+  loadedSettings.ifLeft(error => exitWith(error, exitCodes.usage))
   const log = new LogService({ program: options.name })
   const server = options.create({
-    settings: loaded.unsafeCoerce(),
+    settings: loadedSettings.unsafeCoerce(),
     clock: new SystemClock(),
     random: createRandom(),
     log,
-    // The only use of wall time: boots at one address are told apart and ordered by it.
+    // The only use of wall-clock time: distinguishes and orders successive process instances at one address.
     incarnation: Date.now()
   })
-  // A defect in one request must not end the others.
+  // An unhandled rejection in one request must not end the process and with it all other requests.
   process.on('unhandledRejection', thrown => log.error('internal', { reason: String(thrown) }))
   server.onDidStop(() => process.exit(exitCodes.ok))
   for (const signal of ['SIGTERM', 'SIGINT'] as const) process.on(signal, () => { void server.stop() })
@@ -92,7 +93,7 @@
   }
 }
 
-/** Runs a server program from its command line. */
+/** Parses the command line and runs a server program until it is stopped. */
 export function runServerProgram<S, I> (options: ServerProgramOptions<S, I>): void {
   const command = defineCommand({
     meta: { name: options.name, description: options.description },
--- a/src/services/settings/node/settingsFile.ts
+++ b/src/services/settings/node/settingsFile.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of the programs: TOML files, checked key by key. Unknown keys are refused.
+ * Reads the programs' settings files (TOML) and validates them against a schema. Unknown keys are errors.
  */
 import { readFileSync } from 'node:fs'
 import { Either as EffectEither, ParseResult, Schema } from 'effect'
@@ -9,12 +9,11 @@
 import { parseAddress } from '../../../base/common/address.ts'
 import { PepperwoodError } from '../../result/common/pepperwoodError.ts'
 
-/** An IP number and port, as text. */
+/** An IP address and port, as text. Host names are not accepted. */
 export const AddressText = Schema.String.pipe(
-  Schema.filter(text => parseAddress(text) !== undefined || 'expected an IP number and port such as 10.0.0.7:8000')
+  Schema.filter(text => parseAddress(text) !== undefined || 'expected an IP address and port such as 10.0.0.7:8000')
 )
 
-/** A positive number of milliseconds. */
 export const PositiveMs = Schema.Number.pipe(Schema.positive({ message: () => 'expected a positive number of milliseconds' }))
 
 function findValue (document: unknown, path: readonly PropertyKey[]): unknown {
@@ -23,22 +22,22 @@
   return value
 }
 
-/** Checks a document against a schema; the error names the first key that is wrong. */
+/** Validates a document against a schema; the error names the file and the first invalid key. */
 export function checkSettings<A, I> (file: string, document: unknown, schema: Schema.Schema<A, I>): Either<PepperwoodError, A> {
   const result = Schema.decodeUnknownEither(schema)(document, { onExcessProperty: 'error', errors: 'first' })
   if (EffectEither.isRight(result)) return Right(result.right)
   const issue = ParseResult.ArrayFormatter.formatErrorSync(result.left)[0]
   const path = issue?.path ?? []
-  const found = findValue(document, path)
+  const invalidValue = findValue(document, path)
   return Left(new PepperwoodError({
     name: 'settingsInvalid',
-    message: issue?.message ?? 'wrong settings',
+    message: issue?.message ?? 'invalid settings',
     place: `${file}: ${path.join('.')}`,
-    value: found === undefined ? '' : JSON.stringify(found)
+    value: invalidValue === undefined ? '' : JSON.stringify(invalidValue)
   }))
 }
 
-/** Reads and checks a settings file. */
+/** Reads, parses and validates a settings file. */
 export function loadSettings<A, I> (file: string, schema: Schema.Schema<A, I>): Either<PepperwoodError, A> {
   let document: unknown
   try {
--- a/src/standin/batchingEngine.ts
+++ b/src/standin/batchingEngine.ts
@@ -1,11 +1,10 @@
 /**
- * A model engine that batches continuously: each step gives one token to every sequence of the batch and takes longer the
- * fuller the batch is. Prompts whose prefix is cached skip most of their prefill.
+ * Simulates a model engine with continuous batching: each step produces one token for every sequence in the batch, and
+ * takes longer the larger the batch is. Prompts whose prefix is cached skip most of their prefill.
  */
 import { computeToken, readTokenCount } from './modelAnswers.ts'
 import type { StandinUpstream } from './standinSettings.ts'
 
-/** A generation as it is asked for. */
 export interface GenerationRequest {
   readonly attempt: string
   readonly role: string
@@ -13,53 +12,53 @@
   readonly previous: string
   readonly prefixKey: string
   readonly priority: number
-  /** Tokens that were produced elsewhere before. */
+  /** Number of tokens already produced by another engine; generation continues after them. */
   readonly offset: number
 }
 
-/** A generation on its way from one engine to another. */
+/** The state of a generation that moves from one engine to another. */
 export interface ExportedGeneration extends GenerationRequest {
   readonly needsPrefill: boolean
 }
 
-/** Where the tokens of a generation go. */
-export interface GenerationReader {
+/** Receives the tokens of a generation. */
+export interface GenerationListener {
   onToken (index: number, text: string): void
   onEnd (generation: Generation): void
 }
 
-/** A generation in progress, or one that ended lately. */
+/** A generation that is queued, running, or ended within the retention period. */
 export class Generation {
-  /** Tokens produced here, from the request's offset on. */
+  /** Tokens produced by this engine, starting at the request's offset. */
   readonly tokens: string[] = []
   readonly tokenCount: number
   busyMs = 0
-  isOver = false
-  reader: GenerationReader | undefined
+  hasEnded = false
+  listener: GenerationListener | undefined
 
-  constructor (readonly request: GenerationRequest, public prefillLeftMs: number, readonly cachedTokens: number, reader: GenerationReader) {
+  constructor (readonly request: GenerationRequest, public remainingPrefillMs: number, readonly cachedTokens: number, reader: GenerationListener) {
     this.tokenCount = readTokenCount(request.input)
-    this.reader = reader
+    this.listener = reader
   }
 }
 
-/** The part of the prefill that a cached prefix saves. */
-const CACHED_PART = 0.7
+/** Share of the prefill time that a cached prefix saves. */
+const CACHED_PREFILL_SHARE = 0.7
 const CHARACTERS_PER_TOKEN = 4
-/** How long a generation that nobody reads goes on, and how long its tokens can be fetched. */
-const DETACHED_MS = 3000
+/** How long a generation continues without a listener, and how long its tokens can be fetched after its end. */
+const DETACHED_RETENTION_MS = 3000
 
 export class BatchingEngine {
   private readonly _settings: StandinUpstream
-  private readonly _waiting: Generation[] = []
+  private readonly _queue: Generation[] = []
   private readonly _running: Generation[] = []
   private readonly _byAttempt = new Map<string, Generation>()
-  private readonly _cache = new Set<string>()
+  private readonly _prefixCache = new Set<string>()
   private _timer: NodeJS.Timeout | undefined
-  private _slow = 1
+  private _slowFactor = 1
   private _busyMs = 0
-  private _starts = 0
-  private _prefixHits = 0
+  private _startCount = 0
+  private _prefixHitCount = 0
 
   constructor (settings: StandinUpstream) {
     this._settings = settings
@@ -69,59 +68,60 @@
     return this._running.length
   }
 
-  get waitingCount (): number {
-    return this._waiting.length
+  get queuedCount (): number {
+    return this._queue.length
   }
 
-  /** Time spent in steps, in milliseconds. */
+  /** Total time spent in steps, in milliseconds. */
   get busyMs (): number {
     return this._busyMs
   }
 
-  /** Generations begun, and how many of them found their prefix cached. */
+  /** Number of generations started, and how many of them had a cached prefix. */
   get prefixCounts (): { readonly starts: number, readonly hits: number } {
-    return { starts: this._starts, hits: this._prefixHits }
+    return { starts: this._startCount, hits: this._prefixHitCount }
   }
 
   get cachedPrefixes (): readonly string[] {
-    return [...this._cache]
+    return [...this._prefixCache]
   }
 
   get isFull (): boolean {
-    return this._running.length >= this._settings.capacity && this._waiting.length >= this._settings.max_queue
+    return this._running.length >= this._settings.capacity && this._queue.length >= this._settings.max_queue
   }
 
-  setSlow (slow: number): void {
-    this._slow = slow
+  /** Multiplies the duration of every step. */
+  setSlowFactor (slowFactor: number): void {
+    this._slowFactor = slowFactor
   }
 
-  start (request: GenerationRequest, reader: GenerationReader): Generation {
-    const isCached = this._cache.has(request.prefixKey)
-    if (isCached) this._prefixHits++
-    this._starts++
-    this._touch(request.prefixKey)
-    const prefillMs = this._settings.prefill_ms * (isCached ? 1 - CACHED_PART : 1)
+  start (request: GenerationRequest, listener: GenerationListener): Generation {
+    const isCached = this._prefixCache.has(request.prefixKey)
+    if (isCached) this._prefixHitCount++
+    this._startCount++
+    this._touchPrefix(request.prefixKey)
+    const prefillMs = this._settings.prefill_ms * (isCached ? 1 - CACHED_PREFILL_SHARE : 1)
     const cachedTokens = isCached ? Math.ceil(request.input.length / CHARACTERS_PER_TOKEN) : 0
-    const generation = new Generation(request, prefillMs, cachedTokens, reader)
+    const generation = new Generation(request, prefillMs, cachedTokens, listener)
     this._byAttempt.set(request.attempt, generation)
-    this._waiting.push(generation)
-    this._waiting.sort((a, b) => b.request.priority - a.request.priority)
-    this._schedule()
+    this._queue.push(generation)
+    this._queue.sort((a, b) => b.request.priority - a.request.priority)
+    this._scheduleStep()
     return generation
   }
 
-  /** Takes a generation out of this engine, with all that another engine needs to go on with it. */
+  /** Cancels a generation and returns the state from which another engine can continue it. */
   exportState (attempt: string): ExportedGeneration | undefined {
     const generation = this._byAttempt.get(attempt)
-    if (generation === undefined || generation.isOver) return undefined
+    if (generation === undefined || generation.hasEnded) return undefined
     this.cancel(generation)
-    return { ...generation.request, offset: generation.request.offset + generation.tokens.length, needsPrefill: generation.prefillLeftMs > 0 }
+    return { ...generation.request, offset: generation.request.offset + generation.tokens.length, needsPrefill: generation.remainingPrefillMs > 0 }
   }
 
-  /** Goes on with a generation from another engine; its prompt is not computed again. */
-  importState (state: ExportedGeneration, reader: GenerationReader): Generation {
-    const generation = this.start(state, reader)
-    if (!state.needsPrefill) generation.prefillLeftMs = 0
+  /** Continues a generation from another engine; a prefill that is complete is not repeated. */
+  importState (state: ExportedGeneration, listener: GenerationListener): Generation {
+    const generation = this.start(state, listener)
+    if (!state.needsPrefill) generation.remainingPrefillMs = 0
     return generation
   }
 
@@ -129,87 +129,88 @@
     return this._byAttempt.get(attempt)
   }
 
-  /** Goes on without a reader for a while, so that the rest can be fetched. */
+  /** Continues without a listener for `DETACHED_RETENTION_MS`, then cancels unless a listener was attached again. */
   detach (generation: Generation): void {
-    generation.reader = undefined
-    const timer = setTimeout(() => { if (generation.reader === undefined) this.cancel(generation) }, DETACHED_MS)
+    generation.listener = undefined
+    const timer = setTimeout(() => { if (generation.listener === undefined) this.cancel(generation) }, DETACHED_RETENTION_MS)
     timer.unref()
   }
 
-  /** Hands out what was produced from an offset on, and what comes. */
-  attach (generation: Generation, offset: number, reader: GenerationReader): void {
-    const first = generation.request.offset
-    generation.tokens.forEach((text, index) => { if (first + index >= offset) reader.onToken(first + index, text) })
-    if (generation.isOver) return reader.onEnd(generation)
-    generation.reader = reader
+  /** Delivers the tokens already produced from an offset on, then those that follow. */
+  attach (generation: Generation, offset: number, listener: GenerationListener): void {
+    const firstIndex = generation.request.offset
+    generation.tokens.forEach((text, index) => { if (firstIndex + index >= offset) listener.onToken(firstIndex + index, text) })
+    if (generation.hasEnded) return listener.onEnd(generation)
+    generation.listener = listener
   }
 
   cancel (generation: Generation): void {
-    generation.isOver = true
+    generation.hasEnded = true
     this._byAttempt.delete(generation.request.attempt)
-    removeItem(this._waiting, generation)
+    removeItem(this._queue, generation)
     removeItem(this._running, generation)
   }
 
-  /** Forgets everything, as a crash does. */
+  /** Discards all generations and the cache, as in a crash. */
   clear (): void {
     clearTimeout(this._timer)
     this._timer = undefined
-    for (const generation of this._byAttempt.values()) generation.isOver = true
-    this._waiting.length = 0
+    for (const generation of this._byAttempt.values()) generation.hasEnded = true
+    this._queue.length = 0
     this._running.length = 0
     this._byAttempt.clear()
-    this._cache.clear()
+    this._prefixCache.clear()
   }
 
-  private _schedule (): void {
-    if (this._timer !== undefined || this._running.length + this._waiting.length === 0) return
+  private _scheduleStep (): void {
+    if (this._timer !== undefined || this._running.length + this._queue.length === 0) return
     while (this._running.length < this._settings.capacity) {
-      const next = this._waiting.shift()
+      const next = this._queue.shift()
       if (next === undefined) break
       this._running.push(next)
     }
-    const stepMs = (this._settings.base_ms + this._settings.per_sequence_ms * (this._running.length - 1)) * this._slow
+    const stepMs = (this._settings.base_ms + this._settings.per_sequence_ms * (this._running.length - 1)) * this._slowFactor
     const startedAt = performance.now()
     this._timer = setTimeout(() => {
       this._timer = undefined
-      this._step(performance.now() - startedAt)
-      this._schedule()
+      this._completeStep(performance.now() - startedAt)
+      this._scheduleStep()
     }, stepMs)
   }
 
-  private _step (elapsedMs: number): void {
+  private _completeStep (elapsedMs: number): void {
     this._busyMs += elapsedMs
-    const share = elapsedMs / this._running.length
+    const shareMs = elapsedMs / this._running.length
     for (const generation of [...this._running]) {
-      generation.busyMs += share
-      if (generation.prefillLeftMs > 0) generation.prefillLeftMs -= elapsedMs / this._slow
-      else this._produce(generation)
+      generation.busyMs += shareMs
+      if (generation.remainingPrefillMs > 0) generation.remainingPrefillMs -= elapsedMs / this._slowFactor
+      else this._produceToken(generation)
     }
   }
 
-  private _produce (generation: Generation): void {
+  private _produceToken (generation: Generation): void {
     const { role, input, previous, offset } = generation.request
     const index = offset + generation.tokens.length
     if (index < generation.tokenCount) {
       const text = computeToken(role, input, previous, index)
       generation.tokens.push(text)
-      generation.reader?.onToken(index, text)
+      generation.listener?.onToken(index, text)
     }
     if (offset + generation.tokens.length < generation.tokenCount) return
-    generation.isOver = true
+    generation.hasEnded = true
     removeItem(this._running, generation)
-    generation.reader?.onEnd(generation)
-    const timer = setTimeout(() => this._byAttempt.delete(generation.request.attempt), DETACHED_MS)
+    generation.listener?.onEnd(generation)
+    const timer = setTimeout(() => this._byAttempt.delete(generation.request.attempt), DETACHED_RETENTION_MS)
     timer.unref()
   }
 
-  private _touch (prefixKey: string): void {
-    this._cache.delete(prefixKey)
-    this._cache.add(prefixKey)
-    if (this._cache.size <= this._settings.cache_size) return
-    const oldest = this._cache.values().next().value
-    if (oldest !== undefined) this._cache.delete(oldest)
+  /** Marks a prefix as most recently used, and evicts the least recently used one if the cache is full. */
+  private _touchPrefix (prefixKey: string): void {
+    this._prefixCache.delete(prefixKey)
+    this._prefixCache.add(prefixKey)
+    if (this._prefixCache.size <= this._settings.cache_size) return
+    const oldest = this._prefixCache.values().next().value
+    if (oldest !== undefined) this._prefixCache.delete(oldest)
   }
 }
 
--- a/src/standin/faults.ts
+++ b/src/standin/faults.ts
@@ -1,34 +1,34 @@
 /**
- * The fault switches of a stand-in upstream.
+ * The faults that can be injected into a stand-in upstream.
  */
 import { Schema } from 'effect'
 
 const Share = Schema.Number.pipe(Schema.between(0, 1))
 
 export const FaultsSchema = Schema.Struct({
-  /** Times as slow as usual. */
+  /** Factor by which processing times are multiplied. */
   slow: Schema.optionalWith(Schema.Number.pipe(Schema.positive()), { default: () => 1 }),
-  /** Share of calls that run and then fail. */
+  /** Share of calls that run and then fail; 0 to 1, as all shares here. */
   fail: Schema.optionalWith(Share, { default: () => 0 }),
   /** Share of calls that are refused without running. */
   refuse: Schema.optionalWith(Share, { default: () => 0 }),
-  /** Share of calls whose connection is cut while the answer is written. */
+  /** Share of calls whose connection is closed while the answer is being sent. */
   drop: Schema.optionalWith(Share, { default: () => 0 }),
-  /** Bytes of the answer that come before the connection is cut. */
+  /** Bytes of the answer that are sent before the connection is closed. */
   drop_after_bytes: Schema.optionalWith(Schema.Number.pipe(Schema.nonNegative()), { default: () => 200 }),
-  /** Share of calls that are answered with another attempt's id. */
+  /** Share of calls that are answered with a wrong attempt id. */
   wrong_id: Schema.optionalWith(Share, { default: () => 0 }),
   /** Share of calls that are never answered. */
   hang: Schema.optionalWith(Share, { default: () => 0 }),
-  /** Says that it is leaving, and refuses new work. */
+  /** Reports that it is leaving, and refuses new calls. */
   leaving: Schema.optionalWith(Schema.Boolean, { default: () => false }),
-  /** Says that it is leaving in its reports, but takes what it is sent. */
+  /** Reports that it is leaving, but accepts new calls. */
   leaving_quietly: Schema.optionalWith(Schema.Boolean, { default: () => false }),
-  /** Dead: connections are cut and refused. Its next life has a higher boot number. */
+  /** Simulates a crash: closes and refuses connections. The instance number (`boot`) is higher after the restart. */
   dead: Schema.optionalWith(Schema.Boolean, { default: () => false }),
-  /** How old reports are; undefined keeps the setting. */
+  /** Age of the data in load reports; if undefined, the value from the settings applies. */
   report_lag_ms: Schema.optional(Schema.Number),
-  /** Share of cache events that get lost. */
+  /** Probability, per load snapshot, that a cached prefix is left out of all later reports, as if its cache event were lost. */
   lose_events: Schema.optionalWith(Share, { default: () => 0 })
 })
 
--- a/src/standin/httpJson.ts
+++ b/src/standin/httpJson.ts
@@ -1,21 +1,21 @@
 /**
- * JSON over HTTP for the stand-ins.
+ * Reads and writes JSON bodies for the stand-ins' HTTP servers.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 
 const MAX_BODY_BYTES = 8 * 1024 * 1024
 
-/** The body as JSON; undefined when it is none, or too large. */
+/** Returns the parsed body; undefined if it is not valid JSON or exceeds `MAX_BODY_BYTES`. */
 export async function readJson (request: IncomingMessage): Promise<unknown> {
-  const parts: Buffer[] = []
-  let size = 0
+  const chunks: Buffer[] = []
+  let totalBytes = 0
   try {
     for await (const part of request as AsyncIterable<Buffer>) {
-      size += part.length
-      if (size > MAX_BODY_BYTES) return undefined
-      parts.push(part)
+      totalBytes += part.length
+      if (totalBytes > MAX_BODY_BYTES) return undefined
+      chunks.push(part)
     }
-    return JSON.parse(Buffer.concat(parts).toString('utf8'))
+    return JSON.parse(Buffer.concat(chunks).toString('utf8'))
   } catch {
     return undefined
   }
@@ -28,8 +28,8 @@
   response.end(text)
 }
 
-/** Cuts the connection after so many bytes of the answer. */
-export function sendTorn (response: ServerResponse, body: object, bytes: number): void {
+/** Sends the beginning of the answer and closes the connection, to simulate a connection that breaks. */
+export function sendTruncated (response: ServerResponse, body: object, bytes: number): void {
   const text = JSON.stringify(body)
   response.writeHead(200, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) })
   response.write(text.slice(0, bytes), () => response.socket?.destroy())
--- a/src/standin/main.ts
+++ b/src/standin/main.ts
@@ -7,7 +7,7 @@
 
 runServerProgram({
   name: 'pepperwood-standin',
-  description: 'Stands in for the platform, model engines and services',
+  description: 'Simulates the platform, model engines and services for development and tests',
   schema: StandinSettingsSchema,
   create: context => new Standin(context)
 })
--- a/src/standin/modelAnswers.ts
+++ b/src/standin/modelAnswers.ts
@@ -1,6 +1,6 @@
 /**
- * What the stand-ins answer: a pure function of the input, so that a test or an experiment can tell
- * a right answer from one that is torn, doubled or another request's.
+ * The answers of the stand-ins: a pure function of the input, so that a test or an experiment can distinguish a correct
+ * answer from one that is truncated, duplicated or belongs to another request.
  */
 import { hashText } from '../base/common/rendezvous.ts'
 import { UpstreamKind } from '../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -10,23 +10,23 @@
 const DEFAULT_TOKEN_COUNT = 16
 const MAX_TOKEN_COUNT = 4000
 
-/** How many tokens a prompt asks for: `tokens=N` in the input. */
+/** Reads the requested answer length from `tokens=N` in the input. */
 export function readTokenCount (input: string): number {
   const match = LENGTH_PATTERN.exec(input)
   return match === null ? DEFAULT_TOKEN_COUNT : Math.min(MAX_TOKEN_COUNT, Number(match[1]))
 }
 
-/** The caller's own mark of a request: `id=…` in the input. */
+/** Reads the identifier that the caller put into the input as `id=…`; empty if there is none. */
 export function readMarker (input: string): string {
   return /\bid=(\S+)/.exec(input)?.[1] ?? ''
 }
 
-/** One token of the answer to a prompt; engines agree on it, so a generation can go on elsewhere. */
+/** Computes one token of the answer. The result is the same on every engine, so another engine can continue a generation. */
 export function computeToken (role: string, input: string, previous: string, index: number): string {
   return `t${(hashText(`${role}|${hashText(input)}|${hashText(previous)}|${index}`) % 100000).toString(36)} `
 }
 
-/** The answer of a plain service. */
+/** Computes the answer of an upstream that is not an engine. */
 export function computeServiceOutput (role: string, input: string, previous: string): string {
   return `${role}:${hashText(`${role}|${input}|${previous}`).toString(36)}`
 }
@@ -38,7 +38,7 @@
   return tokens.join('')
 }
 
-/** The whole answer that a pipeline must give for an input. */
+/** Computes the complete answer that a pipeline must return for an input. */
 export function computeExpectedAnswer (configuration: Configuration, pipeline: Pipeline, input: string): string {
   let previous = ''
   for (const stage of pipeline.stages) {
--- a/src/standin/runLedger.ts
+++ b/src/standin/runLedger.ts
@@ -1,14 +1,14 @@
 /**
- * Counts how often each request ran in each role: what the promises are checked against.
+ * Records every execution of a request by an upstream, to verify guarantees such as at most one execution.
  */
 export interface RunRecord {
   readonly role: string
   readonly request: string
-  /** `id=…` of the input: the caller's own mark, whatever sessions the request went through. */
+  /** `id=…` from the input: set by the caller, and the same in all sessions in which the request is submitted. */
   readonly marker: string
   readonly upstream: string
   readonly attempt: string
-  /** Since the ledger was started, in milliseconds. */
+  /** Milliseconds since the ledger was created. */
   readonly atMs: number
 }
 
--- a/src/standin/standin.ts
+++ b/src/standin/standin.ts
@@ -1,5 +1,6 @@
 /**
- * The stand-in process: the platform's service, upstreams, and a control server for faults and counts.
+ * The stand-in process: the platform's configuration service, upstreams, and an HTTP control server that injects faults
+ * and reports counts.
  */
 import { readFileSync } from 'node:fs'
 import { createServer } from 'node:http'
@@ -64,21 +65,21 @@
 
   private async _handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://standin')
-    const [, , group = '', ...rest] = url.pathname.split('/')
+    const [, , resource = '', ...rest] = url.pathname.split('/')
     const name = rest.join('/')
-    if (request.method === 'GET' && group === 'values') {
+    if (request.method === 'GET' && resource === 'values') {
       return await this._platform.answer(name, Number(url.searchParams.get('after') ?? 0), Number(url.searchParams.get('wait_ms') ?? 0), response)
     }
-    if (request.method === 'GET' && group === 'runs') return sendJson(response, 200, { runs: this._ledger.list() })
-    if (request.method === 'GET' && group === 'state') {
-      return sendJson(response, 200, { platformCalls: this._platform.calls, upstreams: this._upstreams.map(upstream => upstream.describe()) })
+    if (request.method === 'GET' && resource === 'runs') return sendJson(response, 200, { runs: this._ledger.list() })
+    if (request.method === 'GET' && resource === 'state') {
+      return sendJson(response, 200, { platformCalls: this._platform.callCount, upstreams: this._upstreams.map(upstream => upstream.describe()) })
     }
     const body = await readJson(request)
-    if (request.method === 'PUT' && group === 'values') {
+    if (request.method === 'PUT' && resource === 'values') {
       return sendJson(response, 200, { revision: this._platform.publish(name, JSON.stringify(body)) })
     }
-    if (request.method === 'PUT' && group === 'faults') return await this._setFaults(name, body, response)
-    sendJson(response, 404, { message: 'no such thing' })
+    if (request.method === 'PUT' && resource === 'faults') return await this._setFaults(name, body, response)
+    sendJson(response, 404, { message: 'unknown path or method' })
   }
 
   private async _setFaults (name: string, body: unknown, response: ServerResponse): Promise<void> {
@@ -89,8 +90,8 @@
     const faults = checkSettings('faults', body, FaultsSchema)
     if (faults.isLeft()) return sendJson(response, 400, { message: String(faults.extract()) })
     const hasName = (upstream: string) => name.endsWith('*') ? upstream.startsWith(name.slice(0, -1)) : upstream === name
-    const chosen = this._upstreams.filter(upstream => hasName(upstream.name))
-    await Promise.all(chosen.map(upstream => upstream.setFaults(faults.unsafeCoerce())))
-    sendJson(response, 200, { upstreams: chosen.length })
+    const selected = this._upstreams.filter(upstream => hasName(upstream.name))
+    await Promise.all(selected.map(upstream => upstream.setFaults(faults.unsafeCoerce())))
+    sendJson(response, 200, { upstreams: selected.length })
   }
 }
--- a/src/standin/test/batchingEngine.test.ts
+++ b/src/standin/test/batchingEngine.test.ts
@@ -10,45 +10,45 @@
 const request: GenerationRequest = { attempt: 'a', role: 'generate', input: 'tokens=12', previous: '', prefixKey: 'k', priority: 1, offset: 0 }
 const expected = Array.from({ length: 12 }, (_, index) => computeToken('generate', request.input, '', index))
 
-/** Collects tokens; resolves at the end or when so many have come. */
+/** Collects tokens; `done` resolves at the end of the generation or after `count` tokens. */
 function collect (tokens: string[], count = Infinity) {
   let finish = () => {}
   const done = new Promise<void>(resolve => { finish = resolve })
-  return { done, reader: { onToken: (index: number, text: string) => { tokens[index] = text; if (index + 1 >= count) finish() }, onEnd: () => finish() } }
+  return { done, listener: { onToken: (index: number, text: string) => { tokens[index] = text; if (index + 1 >= count) finish() }, onEnd: () => finish() } }
 }
 
-test('a generation that moves to another engine goes on where it was', async () => {
+test('a generation exported to another engine continues at the same token', async () => {
   const [first, second] = [new BatchingEngine(settings), new BatchingEngine(settings)]
   const tokens: string[] = []
   const before = collect(tokens, 5)
-  first.start(request, before.reader)
+  first.start(request, before.listener)
   await before.done
   const state = first.exportState('a')
   if (state === undefined) throw new Error('no state')
   assert.is(state.needsPrefill, false)
   assert.is(first.exportState('a'), undefined)
   const after = collect(tokens)
-  assert.is(second.importState(state, after.reader).prefillLeftMs, 0)
+  assert.is(second.importState(state, after.listener).remainingPrefillMs, 0)
   await after.done
   assert.equal(tokens, expected)
 })
 
-test('a reader that comes back gets what it missed and the rest', async () => {
+test('a listener that is attached again receives the tokens it missed and those that follow', async () => {
   const engine = new BatchingEngine(settings)
   const tokens: string[] = []
   const before = collect(tokens, 3)
-  const generation = engine.start(request, before.reader)
+  const generation = engine.start(request, before.listener)
   await before.done
   engine.detach(generation)
   const after = collect(tokens)
-  engine.attach(generation, 3, after.reader)
+  engine.attach(generation, 3, after.listener)
   await after.done
   assert.equal(tokens, expected)
 })
 
-test('a cached prefix saves prefill, and the cache forgets the oldest', () => {
+test('a cached prefix saves prefill, and the least recently used prefix is evicted', () => {
   const engine = new BatchingEngine(settings)
-  const start = (attempt: string, prefixKey: string) => engine.start({ ...request, attempt, prefixKey }, collect([]).reader).cachedTokens
+  const start = (attempt: string, prefixKey: string) => engine.start({ ...request, attempt, prefixKey }, collect([]).listener).cachedTokens
   assert.is(start('1', 'x'), 0)
   assert.ok(start('2', 'x') > 0)
   start('3', 'y')
