--- a/bench/kinds.mjs
+++ b/bench/kinds.mjs
@@ -1,5 +1,6 @@
-// Plays a day for each kind of trouble, twice in the day, and for pairs drawn from a seed, on one or more sites, and
-// writes the table docs/KINDS.md. The users' bench does the playing; its path and the site files are given:
+// Runs one day for each kind of fault, which is injected twice in the day, and one for each of several pairs of kinds drawn
+// from a seed, on one or more sites. Writes the results as a table to docs/KINDS.md. The days are run by the users' bench,
+// whose path is given together with the site files:
 //   node bench/kinds.mjs BENCH [--jobs N] [--pairs N] [--seed N] [--only TEXT] SITE...
 import { execFile, execFileSync } from 'node:child_process'
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs'
@@ -8,8 +9,8 @@
 import { xoroshiro128plus, unsafeUniformIntDistribution } from 'pure-rand'
 import { parse, stringify } from 'smol-toml'
 
-/** Variants beside those that the site files name. A site that does not know a kind refuses the day, which is told. */
-const VARIANTS = [
+/** Variants in addition to those in the site files. A site refuses a day with a kind that it does not support; the table says so. */
+const FAULT_VARIANTS = [
   ['platform_down', ['silent lapse', 'busy lapse', 'reset', 'nodes silent', 'nodes reset meet', 'nodes many revoke meet drain'], { for_s: 5, share: 0.35 }],
   ['platform_compact', [''], { for_s: 5 }],
   ['core_cut', ['all', 'one_way', 'seeds', 'both', 'relieve', 'lure', 'reset meet'], { for_s: 5, count: 2 }],
@@ -32,11 +33,13 @@
   ['srv_flap', [''], { share: 0.2, gap_s: 1.2, for_s: 6 }],
   ['idle_race', [''], { share: 0.5, x: 300, for_s: 6 }]
 ]
-const PLANNED = new Set(['release', 'scale_in', 'scale_out', 'roll_term', 'config_change', 'config_storm', 'big_config', 'revoke', 'hup', 'add_nodes'])
-/** Seconds at which a kind strikes: the second time while what the first left behind may still be there. */
-const STRIKES_S = [5, 15]
-const PAIR_GAP_S = 1
-const KEPT = 3
+/** Kinds that a day lists in its plan, as planned operations, instead of among its faults. */
+const PLANNED_KINDS = new Set(['release', 'scale_in', 'scale_out', 'roll_term', 'config_change', 'config_storm', 'big_config', 'revoke', 'hup', 'add_nodes'])
+/** The times at which a fault is injected. Effects of the first may last until the second. */
+const INJECTION_TIMES_S = [5, 15]
+const PAIR_DELAY_S = 1
+/** Number of entries of the report's `first` list that are printed for a day in which rules were broken. */
+const MAX_PRINTED_VIOLATIONS = 3
 
 const { values, positionals } = parseArgs({
   allowPositionals: true,
@@ -46,38 +49,38 @@
 const run = promisify(execFile)
 mkdirSync('out/kinds', { recursive: true })
 
-function listTroubles (site) {
-  const variants = VARIANTS.flatMap(([kind, hows, rest]) => hows.map(how => ({ kind, how, ...rest })))
+function listFaults (site) {
+  const variants = FAULT_VARIANTS.flatMap(([kind, hows, rest]) => hows.map(how => ({ kind, how, ...rest })))
   const seen = new Set()
-  return [...site.troubles, ...variants].filter(trouble => {
-    const key = describeTrouble(trouble)
+  return [...site.troubles, ...variants].filter(fault => {
+    const key = describeFault(fault)
     return seen.has(key) ? false : seen.add(key)
   })
 }
 
-function describeTrouble ({ kind, how = '' }) {
+function describeFault ({ kind, how = '' }) {
   return how === '' ? kind : `${kind} (${how})`
 }
 
 function createDay (site, name, entries) {
   const base = site.day[0]
-  const split = isPlanned => entries.filter(entry => PLANNED.has(entry.kind) === isPlanned)
-  return { ...base, name, slot: 'trouble', plan: split(true), faults: [...split(false), ...base.faults.slice(0, 1)] }
+  const selectEntries = isPlanned => entries.filter(entry => PLANNED_KINDS.has(entry.kind) === isPlanned)
+  return { ...base, name, slot: 'trouble', plan: selectEntries(true), faults: [...selectEntries(false), ...base.faults.slice(0, 1)] }
 }
 
 function listDays (site) {
-  const troubles = listTroubles(site)
+  const faults = listFaults(site)
   const random = xoroshiro128plus(Number(values.seed))
-  const draw = () => troubles[unsafeUniformIntDistribution(0, troubles.length - 1, random)]
-  const twice = troubles.map(trouble => ({ title: describeTrouble(trouble), entries: STRIKES_S.map(at => ({ ...trouble, at })) }))
+  const draw = () => faults[unsafeUniformIntDistribution(0, faults.length - 1, random)]
+  const singles = faults.map(fault => ({ title: describeFault(fault), entries: INJECTION_TIMES_S.map(at => ({ ...fault, at })) }))
   const pairs = Array.from({ length: Number(values.pairs) }, () => {
     const [a, b] = [draw(), draw()]
-    return { title: `${describeTrouble(a)} + ${describeTrouble(b)}`, entries: STRIKES_S.flatMap(at => [{ ...a, at }, { ...b, at: at + PAIR_GAP_S }]) }
+    return { title: `${describeFault(a)} + ${describeFault(b)}`, entries: INJECTION_TIMES_S.flatMap(at => [{ ...a, at }, { ...b, at: at + PAIR_DELAY_S }]) }
   })
-  return [...twice, ...pairs].filter(day => day.title.includes(values.only))
+  return [...singles, ...pairs].filter(day => day.title.includes(values.only))
 }
 
-async function playDay (sitePath, site, day, index) {
+async function runDay (sitePath, site, day, index) {
   const name = `${site.name}-${index}`
   const dayPath = join('out/kinds', `${name}.toml`)
   const reportPath = join('out/kinds', `${name}.json`)
@@ -85,26 +88,26 @@
   try {
     await run(bench, ['run', sitePath, dayPath, '--report', reportPath, '--why', `kinds of trouble, one after the other: ${day.title}`], { maxBuffer: 1 << 26, timeout: 300_000 })
     const { G, breaks, fault, first } = JSON.parse(readFileSync(reportPath, 'utf8'))
-    return { ...day, worth: G, breaks: Object.keys(breaks), fault, first: first.slice(0, KEPT) }
+    return { ...day, worth: G, breaks: Object.keys(breaks), fault, first: first.slice(0, MAX_PRINTED_VIOLATIONS) }
   } catch (thrown) {
     const text = `${thrown.stdout ?? ''}${thrown.stderr ?? ''}`.trim().split('\n').at(-1) ?? ''
     return { ...day, error: text.slice(0, 200) }
   }
 }
 
-/** Plays the days with so many at once; the results are in the order of the days. */
-async function playAll (sitePath, site, days) {
+/** Runs the days with up to `--jobs` of them at once. The results are in the order of the days. */
+async function runDays (sitePath, site, days) {
   const results = []
   let next = 0
-  const work = async () => {
+  const runRemaining = async () => {
     while (next < days.length) {
       const index = next++
-      results[index] = await playDay(sitePath, site, days[index], index)
+      results[index] = await runDay(sitePath, site, days[index], index)
       const { title, worth, breaks, fault, error, first } = results[index]
       console.log(site.name, title, worth ?? '', breaks?.join(' ') ?? '', fault ?? '', error ?? '', breaks?.length > 0 ? JSON.stringify(first) : '')
     }
   }
-  await Promise.all(Array.from({ length: Number(values.jobs) }, work))
+  await Promise.all(Array.from({ length: Number(values.jobs) }, runRemaining))
   return results
 }
 
@@ -123,7 +126,7 @@
   return [
     '# Kinds of trouble',
     '',
-    `Each kind of trouble twice in a quiet day, at second ${STRIKES_S.join(' and ')}, and pairs drawn with seed ${values.seed}; made by \`bench/kinds.mjs\` at commit ${commit}. A cell gives the day's worth, and in bold the rules that were broken.`,
+    `Each kind of trouble twice in a quiet day, at second ${INJECTION_TIMES_S.join(' and ')}, and pairs drawn with seed ${values.seed}; made by \`bench/kinds.mjs\` at commit ${commit}. A cell gives the day's worth, and in bold the rules that were broken.`,
     '',
     `| kind | ${names.join(' | ')} |`,
     `| --- |${' --- |'.repeat(names.length)}`,
@@ -135,6 +138,6 @@
 const bySite = new Map()
 for (const sitePath of sitePaths) {
   const site = parse(readFileSync(sitePath, 'utf8'))
-  bySite.set(basename(sitePath, '.toml'), await playAll(sitePath, site, listDays(site)))
+  bySite.set(basename(sitePath, '.toml'), await runDays(sitePath, site, listDays(site)))
 }
 writeFileSync(values.only === '' ? 'docs/KINDS.md' : 'out/kinds/partial.md', renderTable(bySite))
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,4 +1,4 @@
-// Bundles each program into one file under dist/.
+// Bundles each program into a single file under dist/.
 import { chmodSync } from 'node:fs'
 import { build } from 'esbuild'
 import { bundleOptions } from './bundleOptions.mjs'
--- a/scripts/buildNode.mjs
+++ b/scripts/buildNode.mjs
@@ -1,5 +1,5 @@
-// Bundles the node that runs on the platform under target/, with what V8 made of it: compiling the bundle is a third of
-// a start on a small host, and after a loss of power all hosts start at once.
+// Bundles the program that runs on the platform's nodes into target/, together with a V8 code cache. Compiling the bundle
+// takes a third of the start-up time on a small host, and all hosts start at once after a loss of power.
 import { execFileSync } from 'node:child_process'
 import { copyFileSync, readFileSync } from 'node:fs'
 import { fileURLToPath } from 'node:url'
@@ -8,7 +8,7 @@
 
 const rootPath = fileURLToPath(new URL('..', import.meta.url))
 
-/** Parts of prom-client that a node has no use for; they load TLS, compression and clusters with each start. */
+/** Replaces modules of prom-client that the node does not use with empty ones: they load TLS, compression and cluster at start-up. */
 const withoutUnusedMetrics = {
   name: 'without-unused-metrics',
   setup: ({ onResolve, onLoad }) => {
@@ -27,12 +27,12 @@
   minify: true,
   sourcemap: false,
   plugins: [withoutUnusedMetrics],
-  // The native part of cbor-x is looked for with each start, and is not in the bundle.
+  // Stops cbor-x from searching for its native addon at each start. The bundle does not contain the addon.
   define: { 'process.env.CBOR_NATIVE_ACCELERATION_DISABLED': '"true"' }
 })
 copyFileSync('scripts/startCached.cjs', 'target/pepperwood-node.cjs')
-// V8 takes a cache only from a process with the same options, so they are read from where the node's are.
+// V8 accepts a code cache only from a process with the same options, so the options are read from the deploy file.
 const [, options] = /^run = "node (.*?) ?target\//m.exec(readFileSync('deploy/system.toml', 'utf8')) ?? []
-// A cache made with other options would be refused at each start, without a word.
-if (options === undefined) throw new Error('deploy/system.toml: no role runs a program of target/ with node')
+// V8 would silently reject a cache created with other options at each start.
+if (options === undefined) throw new Error('deploy/system.toml: no role runs a program in target/ with node')
 execFileSync(process.execPath, [...options.split(' ').filter(Boolean), 'target/pepperwood-node.cjs', '--make-cache'], { cwd: rootPath, stdio: 'inherit' })
--- a/scripts/bundleOptions.mjs
+++ b/scripts/bundleOptions.mjs
@@ -1,10 +1,10 @@
-// How every program is bundled.
+// Options of esbuild for every program.
 export const bundleOptions = {
   bundle: true,
   platform: 'node',
   target: 'node20',
   format: 'esm',
   logLevel: 'warning',
-  // Packages in CommonJS form ask for require, which a module has not by itself.
+  // Bundled CommonJS packages call require, which ES modules do not provide.
   banner: { js: "#!/usr/bin/env node\nimport { createRequire as createRequireOfBundle } from 'node:module'\nconst require = createRequireOfBundle(import.meta.url)" }
 }
--- a/scripts/startCached.cjs
+++ b/scripts/startCached.cjs
@@ -1,14 +1,14 @@
-// Starts the bundle beside this file, from V8's code cache where that fits. With --make-cache it writes the cache
-// after loading the bundle, without starting anything.
+// Starts the bundle in this file's directory with its V8 code cache, if V8 accepts the cache. With --make-cache, it loads
+// the bundle and writes the cache without starting the program.
 const { readFileSync, writeFileSync } = require('node:fs')
 const { join } = require('node:path')
 const { Script } = require('node:vm')
 
 const bundlePath = join(__dirname, 'pepperwood-node.bundle.cjs')
 const cachePath = join(__dirname, 'pepperwood-node.cache')
-const isMaking = process.argv.includes('--make-cache')
+const isCreatingCache = process.argv.includes('--make-cache')
 
-/** Without a cache the bundle is compiled, which only takes longer. */
+/** Returns undefined if there is no cache. V8 then compiles the bundle, which only takes longer. */
 function readCache () {
   try {
     return readFileSync(cachePath)
@@ -19,9 +19,9 @@
 
 const script = new Script(`(function (require, module, exports) {${readFileSync(bundlePath, 'latin1')}\n})`, {
   filename: bundlePath,
-  cachedData: isMaking ? undefined : readCache()
+  cachedData: isCreatingCache ? undefined : readCache()
 })
-const module_ = { exports: {} }
-script.runInThisContext()(require, module_, module_.exports)
-if (isMaking) writeFileSync(cachePath, script.createCachedData())
-else module_.exports.runProgram()
+const bundleModule = { exports: {} }
+script.runInThisContext()(require, bundleModule, bundleModule.exports)
+if (isCreatingCache) writeFileSync(cachePath, script.createCachedData())
+else bundleModule.exports.runProgram()
--- a/scripts/test/startCached.test.ts
+++ b/scripts/test/startCached.test.ts
@@ -19,7 +19,7 @@
   return execFileSync(process.execPath, [join(folder, 'pepperwood-node.cjs'), ...args], { encoding: 'utf8', env: { PATH: process.env.PATH } })
 }
 
-test('making the cache starts nothing', () => {
+test('creating the cache does not start the program', () => {
   const folder = createFolder()
   assert.is(runLoader(folder, '--make-cache'), '')
   assert.ok(existsSync(join(folder, 'pepperwood-node.cache')))
@@ -28,7 +28,7 @@
 })
 
 for (const [name, cache] of [['missing', undefined], ['broken', 'not a cache'], ['empty', '']] as const) {
-  test(`a cache that is ${name} only takes longer`, () => {
+  test(`the program starts with a ${name} cache`, () => {
     const folder = createFolder()
     if (cache !== undefined) writeFileSync(join(folder, 'pepperwood-node.cache'), cache)
     assert.is(runLoader(folder), 'started function\n')
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -1,18 +1,18 @@
 /**
- * Open-loop arrivals: when requests come and what they ask, from a seed alone.
+ * Plans open-loop arrivals: the time and content of every request, determined by the seed alone.
  */
 import type { IRandom } from '../base/common/random.ts'
 import type { LoadProfile, ProfileCustomer, ProfilePipeline } from './loadProfile.ts'
 
-/** How the rate changes over a run. */
+/** The arrival rate over a run. */
 export interface RateShape {
   /** Requests a second. */
   readonly rate: number
-  /** Times the rate during the burst. */
+  /** Factor applied to the rate during the burst. */
   readonly burstFactor: number
   readonly burstFromMs: number
   readonly burstToMs: number
-  /** A customer that sends times its share during the burst; empty for none. */
+  /** A customer whose share is multiplied by `floodFactor` during the burst; empty for none. */
   readonly floodCustomer: string
   readonly floodFactor: number
 }
@@ -29,12 +29,12 @@
 
 const PREFIX_LENGTH = 64
 
-function drawWeighted<T extends { readonly share: number }> (items: readonly T[], weigh: (item: T) => number, random: IRandom): T {
-  const total = items.reduce((sum, item) => sum + weigh(item), 0)
-  let left = random.next() * total
+function drawWeighted<T extends { readonly share: number }> (items: readonly T[], getWeight: (item: T) => number, random: IRandom): T {
+  const total = items.reduce((sum, item) => sum + getWeight(item), 0)
+  let remaining = random.next() * total
   for (const item of items) {
-    left -= weigh(item)
-    if (left < 0) return item
+    remaining -= getWeight(item)
+    if (remaining < 0) return item
   }
   return items[items.length - 1] as T
 }
@@ -45,19 +45,19 @@
   return `${prefix} id=${runId}.${id} tokens=${tokens}`
 }
 
-/** All arrivals of a run, in order. */
+/** Returns all arrivals of a run in order of time, with exponentially distributed gaps. */
 export function planArrivals (profile: LoadProfile, shape: RateShape, durationMs: number, runId: string, random: IRandom): readonly Arrival[] {
   const arrivals: Arrival[] = []
   const isBurst = (atMs: number) => atMs >= shape.burstFromMs && atMs < shape.burstToMs
-  const shareOf = (customer: ProfileCustomer, atMs: number) => customer.share * (isBurst(atMs) && customer.name === shape.floodCustomer ? shape.floodFactor : 1)
+  const getShare = (customer: ProfileCustomer, atMs: number) => customer.share * (isBurst(atMs) && customer.name === shape.floodCustomer ? shape.floodFactor : 1)
   const baseShare = profile.customers.reduce((sum, customer) => sum + customer.share, 0)
   for (let atMs = 0; ;) {
-    const shares = profile.customers.reduce((sum, customer) => sum + shareOf(customer, atMs), 0)
+    const shares = profile.customers.reduce((sum, customer) => sum + getShare(customer, atMs), 0)
     const rate = shape.rate * (isBurst(atMs) ? shape.burstFactor : 1) * shares / baseShare
     atMs += -Math.log(1 - random.next()) / rate * 1000
     if (atMs >= durationMs) return arrivals
     const at = atMs
-    const customer = drawWeighted(profile.customers, item => shareOf(item, at), random)
+    const customer = drawWeighted(profile.customers, item => getShare(item, at), random)
     const pipeline = drawWeighted(profile.pipelines, item => item.share, random)
     const id = arrivals.length
     arrivals.push({
--- a/src/load/benchCommand.ts
+++ b/src/load/benchCommand.ts
@@ -1,5 +1,5 @@
 /**
- * `pepperwood-load bench`: one gate's throughput and overhead, and the cost of a decision.
+ * `pepperwood-load bench`: measures the throughput and overhead of one gate, and the cost of an admission and routing decision.
  */
 import { defineCommand } from 'citty'
 import { exitCodes } from '../services/program/node/program.ts'
--- a/src/load/compareCommand.ts
+++ b/src/load/compareCommand.ts
@@ -1,5 +1,5 @@
 /**
- * `pepperwood-load compare`: policies side by side over scenarios and seeds, in one run.
+ * `pepperwood-load compare`: runs several policies over the same scenarios and seeds, and prints one table.
  */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
@@ -20,25 +20,26 @@
 import { createRateShape } from './scenario.ts'
 import type { Scenario } from './scenario.ts'
 
-const BASELINE_PARTS = { admission: 'none', limits: 'fixed', queue: 'fifo', retries: 'unlimited', health: 'trusting' } as const
+const BASELINE_POLICY = { admission: 'none', limits: 'fixed', queue: 'fifo', retries: 'unlimited', health: 'trusting' } as const
 
-/** The policies that can be named; `policy` is the profile's own. */
+/** Resolves a policy's name, or parses settings. `policy` is the profile's own policy. */
 function findPolicy (name: string, profile: LoadProfile): PolicySettings {
   if (name === 'policy') return profile.policy
-  if (name === 'round-robin') return PolicySettingsSchema.make({ router: 'round-robin', ...BASELINE_PARTS })
-  if (name === 'least-reported') return PolicySettingsSchema.make({ router: 'least-reported', ...BASELINE_PARTS })
+  if (name === 'round-robin') return PolicySettingsSchema.make({ router: 'round-robin', ...BASELINE_POLICY })
+  if (name === 'least-reported') return PolicySettingsSchema.make({ router: 'least-reported', ...BASELINE_POLICY })
   return parsePolicy(name, profile)
 }
 
-/** What is kept of a run. */
-interface Measure {
+interface RunMetrics {
   readonly attainment: number
-  readonly smallest: number
+  /** Attainment of the two customers with the smallest shares. */
+  readonly smallCustomers: number
   readonly wasted: number
   readonly retries: number
-  readonly busyMsPerWhole: number
+  readonly busyMsPerAnswer: number
   readonly prefixHits: number
-  readonly busiestGate: number
+  /** Requests of the busiest gate relative to the mean. */
+  readonly gateImbalance: number
   readonly isCorrect: boolean
 }
 
@@ -46,29 +47,29 @@
   readonly scenario: string
   readonly policy: string
   readonly bound: number
-  readonly measures: readonly Measure[]
+  readonly runs: readonly RunMetrics[]
 }
 
-function createMeasure (result: ExperimentResult, profile: LoadProfile): Measure {
+function createRunMetrics (result: ExperimentResult, profile: LoadProfile): RunMetrics {
   const { report, usage, prefixHitShare } = result
-  const small = [...profile.customers].sort((a, b) => a.share - b.share).slice(0, 2).map(customer => customer.name)
-  const rows = report.byCustomer.filter(row => small.includes(row.name))
+  const smallCustomerNames = [...profile.customers].sort((a, b) => a.share - b.share).slice(0, 2).map(customer => customer.name)
+  const rows = report.byCustomer.filter(row => smallCustomerNames.includes(row.name))
   const whole = report.byCustomer.reduce((sum, row) => sum + row.whole, 0)
   const busyMs = report.costs.reduce((sum, cost) => sum + cost.busyMs, 0)
   return {
     attainment: report.attainment,
-    smallest: rows.reduce((sum, row) => sum + row.whole, 0) / Math.max(1, rows.reduce((sum, row) => sum + row.requests, 0)),
+    smallCustomers: rows.reduce((sum, row) => sum + row.whole, 0) / Math.max(1, rows.reduce((sum, row) => sum + row.requests, 0)),
     wasted: report.wastedShare,
     retries: report.retryShare,
-    busyMsPerWhole: busyMs / Math.max(1, whole),
+    busyMsPerAnswer: busyMs / Math.max(1, whole),
     prefixHits: prefixHitShare,
-    busiestGate: computeImbalance(usage),
+    gateImbalance: computeImbalance(usage),
     isCorrect: isCorrect(report.counters)
   }
 }
 
-/** Median, and the range where there are several. */
-function formatSpread (values: readonly number[], digits = 3): string {
+/** Formats the median, followed by the range if there are several values. */
+function formatMedian (values: readonly number[], digits = 3): string {
   const sorted = [...values].sort((a, b) => a - b)
   const median = sorted[Math.floor(sorted.length / 2)] ?? 0
   const text = median.toFixed(digits)
@@ -80,14 +81,14 @@
     row.scenario,
     row.policy,
     row.bound.toFixed(3),
-    formatSpread(row.measures.map(item => item.attainment)),
-    formatSpread(row.measures.map(item => item.smallest)),
-    formatSpread(row.measures.map(item => item.wasted)),
-    formatSpread(row.measures.map(item => item.retries)),
-    formatSpread(row.measures.map(item => item.busyMsPerWhole), 0),
-    formatSpread(row.measures.map(item => item.prefixHits)),
-    formatSpread(row.measures.map(item => item.busiestGate), 2),
-    row.measures.every(item => item.isCorrect) ? '0' : 'NOT 0'
+    formatMedian(row.runs.map(item => item.attainment)),
+    formatMedian(row.runs.map(item => item.smallCustomers)),
+    formatMedian(row.runs.map(item => item.wasted)),
+    formatMedian(row.runs.map(item => item.retries)),
+    formatMedian(row.runs.map(item => item.busyMsPerAnswer), 0),
+    formatMedian(row.runs.map(item => item.prefixHits)),
+    formatMedian(row.runs.map(item => item.gateImbalance), 2),
+    row.runs.every(item => item.isCorrect) ? '0' : 'NOT 0'
   ]
   return `| ${cells.join(' | ')} |`
 }
@@ -95,16 +96,16 @@
 const HEADER = '| scenario | policy | bound | attainment | two smallest customers | cost for nobody | retries | busy ms per whole answer | prefix hits | busiest gate / mean | counters |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |'
 
 async function measureRow (profile: LoadProfile, scenario: Scenario, policyName: string, seeds: readonly number[], out: string): Promise<Row> {
-  const measures: Measure[] = []
+  const runs: RunMetrics[] = []
   const bounds: number[] = []
   for (const seed of seeds) {
     const directory = join(out, `${scenario.name}-${policyName.replaceAll(/[^a-z-]+/g, '_').slice(0, 40)}-${seed}`)
     const result = await runExperiment({ profile, scenario, policy: findPolicy(policyName, profile), seed, network: chooseNetwork(), directory })
     writeFileSync(join(directory, 'report.json'), JSON.stringify(result.report, undefined, 2))
-    measures.push(createMeasure(result, profile))
+    runs.push(createRunMetrics(result, profile))
     bounds.push(computeAttainmentBound(profile, planArrivals(profile, createRateShape(profile, scenario), scenario.seconds * 1000, 'r', new SeededRandom(seed))))
   }
-  return { scenario: scenario.name, policy: policyName, bound: bounds.reduce((sum, bound) => sum + bound, 0) / bounds.length, measures }
+  return { scenario: scenario.name, policy: policyName, bound: bounds.reduce((sum, bound) => sum + bound, 0) / bounds.length, runs }
 }
 
 export const compareCommand = defineCommand({
@@ -127,7 +128,7 @@
       const scenario = loadScenario(file)
       for (const policyName of args.policies.split(',')) {
         const row = await measureRow(profile, scenario, policyName, seeds, args.out)
-        allCorrect &&= row.measures.every(item => item.isCorrect)
+        allCorrect &&= row.runs.every(item => item.isCorrect)
         process.stdout.write(`${formatRow(row)}\n`)
       }
     }
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -1,5 +1,5 @@
 /**
- * One run: starts a fleet, sends the load, lets go wrong what the scenario says, and reports.
+ * Runs one experiment: starts a fleet, sends the load, injects the scenario's faults, and creates the report.
  */
 import { join } from 'node:path'
 import { SeededRandom } from '../base/common/random.ts'
@@ -13,7 +13,7 @@
 import { runLoad } from './loadRunner.ts'
 import type { Outcome } from './loadRunner.ts'
 import { ProcessFleet } from './processFleet.ts'
-import { compareReadings, readUsage } from './processUsage.ts'
+import { computeUsage, readUsage } from './processUsage.ts'
 import type { ProcessUsage } from './processUsage.ts'
 import { createRateShape } from './scenario.ts'
 import type { Scenario } from './scenario.ts'
@@ -23,7 +23,7 @@
   readonly scenario: Scenario
   readonly policy?: PolicySettings
   readonly seed: number
-  /** The second number of the fleet's addresses. */
+  /** The second octet of the fleet's addresses. */
   readonly network: number
   readonly directory: string
   readonly onDidProgress?: (line: string) => void
@@ -35,14 +35,14 @@
   /** Calls to the platform per second of the run. */
   readonly platformCallsPerSecond: number
   readonly usage: readonly ProcessUsage[]
-  /** Share of generations that found their prefix cached. */
+  /** The share of generations whose prefix was in the prefix cache. */
   readonly prefixHitShare: number
 }
 
 const STANDIN_COUNT = 3
 const CALLERS_PER_CUSTOMER = 6
 const PROGRESS_PERIOD_MS = 1000
-/** Round trips shorter than this are not added by relays. */
+/** Relays are not used for shorter round trips, unless the scenario asks for them. */
 const MIN_RELAYED_RTT_MS = 2
 
 export async function runExperiment (options: ExperimentOptions): Promise<ExperimentResult> {
@@ -53,7 +53,7 @@
   try {
     await fleet.start()
     const entries = plan.hosts.map(host => host.gate.address)
-    const send = (seconds: number, runId: string, shape = createRateShape(profile, scenario), onDidEnd?: (outcome: Outcome) => void) => runLoad({
+    const sendLoad = (seconds: number, runId: string, shape = createRateShape(profile, scenario), onDidEnd?: (outcome: Outcome) => void) => runLoad({
       arrivals: planArrivals(profile, shape, seconds * 1000, runId, new SeededRandom(seed)),
       customers: profile.customers.map(customer => customer.name),
       entries,
@@ -61,26 +61,26 @@
       callersPerCustomer: CALLERS_PER_CUSTOMER,
       onDidEnd
     })
-    // The fleet learns what calls take before anything is counted.
+    // Lets the fleet collect call latencies before the measurement starts.
     const warmupShape = { ...createRateShape(profile, scenario), burstFactor: 1, floodFactor: 1 }
-    await send(scenario.warmup_ms / 1000, 'w', { ...warmupShape, rate: Math.min(warmupShape.rate, profile.nominal_rate * 0.5) })
+    await sendLoad(scenario.warmup_ms / 1000, 'w', { ...warmupShape, rate: Math.min(warmupShape.rate, profile.nominal_rate * 0.5) })
     const busyBefore = await fleet.control.readBusyByRole()
     const callsBefore = await fleet.control.readPlatformCalls()
-    const measured = plan.hosts.flatMap((host, index) => [
+    const measuredProcesses = plan.hosts.flatMap((host, index) => [
       { name: `gate-${index}`, metricsAddress: host.gate.metrics_address ?? '' },
       { name: `steward-${index}`, metricsAddress: host.steward.metrics_address ?? '' }
     ])
     const prefixBefore = await fleet.control.readPrefixCounts()
-    const usageBefore = await readUsage(measured)
+    const usageBefore = await readUsage(measuredProcesses)
     const startedAt = performance.now()
-    const progress = new Progress(options.onDidProgress)
+    const progress = new ProgressReporter(options.onDidProgress)
     const steps = Promise.all(scenario.steps.map(async step => {
       await waitFor(step.at_ms)
       await fleet.apply(step)
     }))
-    const outcomes = await send(scenario.seconds, 'r', undefined, outcome => progress.add(outcome))
+    const outcomes = await sendLoad(scenario.seconds, 'r', undefined, outcome => progress.add(outcome))
     progress.stop()
-    const usage = compareReadings(usageBefore, await readUsage(measured))
+    const usage = computeUsage(usageBefore, await readUsage(measuredProcesses))
     await steps
     const prefixAfter = await fleet.control.readPrefixCounts()
     const busyAfter = await fleet.control.readBusyByRole()
@@ -99,8 +99,8 @@
   }
 }
 
-/** One line a second on how the run goes. */
-class Progress {
+/** Reports the number of requests by outcome once a second. */
+class ProgressReporter {
   private readonly _counts = { whole: 0, late: 0, refused: 0, lost: 0 }
   private readonly _timer: NodeJS.Timeout
 
--- a/src/load/fit.ts
+++ b/src/load/fit.ts
@@ -1,8 +1,7 @@
 /**
- * Fits measured points by straight lines over N, the logarithm of N, or nothing, and projects them.
+ * Fits measured points by least squares with a constant, a line over log N or a line over N, and extrapolates them.
  */
 
-/** How a figure grows with the size. */
 export type GrowthModel = 'constant' | 'log N' | 'N'
 
 export interface Point {
@@ -14,7 +13,7 @@
   readonly model: GrowthModel
   readonly intercept: number
   readonly slope: number
-  /** Root of the mean squared residual, in the figure's unit. */
+  /** Root mean square error, in the unit of the values. */
   readonly residual: number
 }
 
@@ -24,28 +23,28 @@
   N: size => size
 }
 
-/** A richer model must lower the residual by so much to be preferred. */
-const PREFERENCE = 0.75
+/** A model with faster growth is preferred only if its residual is below this share of the simpler model's. */
+const MAX_RESIDUAL_RATIO = 0.75
 
 function fitModel (model: GrowthModel, points: readonly Point[]): Fit {
   const transform = TRANSFORMS[model]
   const count = points.length
   const meanX = points.reduce((sum, point) => sum + transform(point.size), 0) / count
   const meanY = points.reduce((sum, point) => sum + point.value, 0) / count
-  const spread = points.reduce((sum, point) => sum + (transform(point.size) - meanX) ** 2, 0)
-  const common = points.reduce((sum, point) => sum + (transform(point.size) - meanX) * (point.value - meanY), 0)
-  const slope = spread === 0 ? 0 : common / spread
+  const sumXX = points.reduce((sum, point) => sum + (transform(point.size) - meanX) ** 2, 0)
+  const sumXY = points.reduce((sum, point) => sum + (transform(point.size) - meanX) * (point.value - meanY), 0)
+  const slope = sumXX === 0 ? 0 : sumXY / sumXX
   const intercept = meanY - slope * meanX
-  const squares = points.reduce((sum, point) => sum + (point.value - intercept - slope * transform(point.size)) ** 2, 0)
-  return { model, intercept, slope, residual: Math.sqrt(squares / count) }
+  const squaredResiduals = points.reduce((sum, point) => sum + (point.value - intercept - slope * transform(point.size)) ** 2, 0)
+  return { model, intercept, slope, residual: Math.sqrt(squaredResiduals / count) }
 }
 
-/** The plainest model that fits nearly as well as the best. */
+/** Returns the simplest model whose residual is not clearly higher than that of a model with faster growth. */
 export function fitBest (points: readonly Point[]): Fit {
   const fits = (['constant', 'log N', 'N'] as const).map(model => fitModel(model, points))
-  return fits.reduce((best, fit) => fit.residual < best.residual * PREFERENCE ? fit : best)
+  return fits.reduce((best, fit) => fit.residual < best.residual * MAX_RESIDUAL_RATIO ? fit : best)
 }
 
-export function computeAt (fit: Fit, size: number): number {
+export function predictAt (fit: Fit, size: number): number {
   return fit.intercept + fit.slope * TRANSFORMS[fit.model](size)
 }
--- a/src/load/fleetPlan.ts
+++ b/src/load/fleetPlan.ts
@@ -1,5 +1,5 @@
 /**
- * From a profile to the settings of every process of a fleet on loopback. Each host has an IP number of its own in 127/8.
+ * Creates the settings of every process of a loopback fleet from a profile. Each host has its own IP address in 127.0.0.0/8.
  */
 import { createHash } from 'node:crypto'
 import { create, toJsonString } from '@bufbuild/protobuf'
@@ -14,18 +14,18 @@
 
 export interface FleetPlanOptions {
   readonly profile: LoadProfile
-  /** The second number of the fleet's addresses, so that fleets do not meet. */
+  /** The second octet of the fleet's addresses, which keeps concurrent fleets apart. */
   readonly network: number
   readonly seed: number
-  /** Processes list their own address behind a relay when there is one. */
+  /** Whether connections go through relays: processes then listen on other addresses than they announce. */
   readonly usesRelays: boolean
-  /** Processes that the stand-in upstreams are spread over; the platform's is the first of them. */
+  /** Number of processes over which the stand-in upstreams are distributed. The first also serves the platform. */
   readonly standinCount?: number
   /** Replaces the profile's policy. */
   readonly policy?: PolicySettings
 }
 
-/** One entry host with its two processes. */
+/** An entry host with its steward and gate. */
 export interface HostPlan {
   readonly name: string
   readonly hall: string
@@ -34,7 +34,7 @@
   readonly gate: GateSettings
 }
 
-/** A relay in front of an address: it listens where others look, and passes on to where the process listens. */
+/** A relay that listens on the announced address and forwards to the address on which the process listens. */
 export interface RelayPlan {
   readonly address: string
   readonly target: string
@@ -43,48 +43,48 @@
 
 export interface FleetPlan {
   readonly hosts: readonly HostPlan[]
-  /** The first one holds the platform's values. */
+  /** The first one also serves the platform's store. */
   readonly standins: readonly StandinSettings[]
   readonly relays: readonly RelayPlan[]
   readonly configuration: Configuration
   readonly configurationText: string
-  /** From IP number to hall, for relays. */
+  /** Hall by IP address, for the relays. */
   readonly halls: ReadonlyMap<string, string>
 }
 
 const PORTS = { steward: 7000, operator: 7001, stewardMetrics: 7002, gate: 8000, gateMetrics: 8001, platform: 9000, upstream: 9100 } as const
 const CHECKPOINT_KEY = 'a key for experiments only'
-/** Third numbers of addresses: entry hosts as others see them, as they listen behind relays, and upstreams. */
-const BLOCKS = { host: 10, hostBehind: 110, upstream: 40, upstreamBehind: 140, client: 90 } as const
+/** First value of the third octet for each kind of address: as announced, and as listened on behind relays. */
+const ADDRESS_BLOCKS = { host: 10, hostBehindRelay: 110, upstream: 40, upstreamBehindRelay: 140, client: 90 } as const
 
-/** IP numbers used of a block; further upstreams share them under other ports. */
-const MAX_HOSTS_IN_BLOCK = 250
+/** Number of IP addresses that a block provides; further upstreams reuse them with other ports. */
+const MAX_ADDRESSES_PER_BLOCK = 250
 
 export function formatCustomerKey (customer: string): string {
   return `key of ${customer}`
 }
 
-/** The address that a customer's connections leave from. */
+/** The local address of a caller's connections. */
 export function formatClientIp (network: number, index: number): string {
-  return `127.${network}.${BLOCKS.client}.${1 + index % 250}`
+  return `127.${network}.${ADDRESS_BLOCKS.client}.${1 + index % 250}`
 }
 
 export function planFleet (options: FleetPlanOptions): FleetPlan {
   const { profile, network, usesRelays } = options
   const halls = new Map<string, string>()
   const relays: RelayPlan[] = []
-  const place = (block: number, blockBehind: number, hallIndex: number, item: number, port: number): { readonly address: string, readonly listen: string } => {
+  const allocateAddress = (block: number, blockBehindRelay: number, hallIndex: number, hostIndex: number, port: number): { readonly address: string, readonly listen: string } => {
     const hall = profile.halls[hallIndex] ?? ''
-    const ip = `127.${network}.${block + hallIndex}.${1 + item}`
+    const ip = `127.${network}.${block + hallIndex}.${1 + hostIndex}`
     halls.set(ip, hall)
     const address = `${ip}:${port}`
     if (!usesRelays) return { address, listen: address }
-    const listen = `127.${network}.${blockBehind + hallIndex}.${1 + item}:${port}`
+    const listen = `127.${network}.${blockBehindRelay + hallIndex}.${1 + hostIndex}:${port}`
     relays.push({ address, target: listen, hall })
     return { address, listen }
   }
-  const hosts = planHosts({ ...profile, policy: options.policy ?? profile.policy }, formatStandinAddress(network, 0), place)
-  const upstreams = planUpstreams(profile, place)
+  const hosts = planHosts({ ...profile, policy: options.policy ?? profile.policy }, formatStandinAddress(network, 0), allocateAddress)
+  const upstreams = planUpstreams(profile, allocateAddress)
   const configuration = createConfiguration(profile, upstreams)
   return {
     hosts,
@@ -96,7 +96,7 @@
   }
 }
 
-/** The control server of a stand-in process. */
+/** Address of the control server of a stand-in process. */
 function formatStandinAddress (network: number, index: number): string {
   return `127.${network}.1.${1 + index}:${PORTS.platform}`
 }
@@ -111,21 +111,21 @@
   }))
 }
 
-type Place = (block: number, blockBehind: number, hallIndex: number, item: number, port: number) => { readonly address: string, readonly listen: string }
+type AllocateAddress = (block: number, blockBehindRelay: number, hallIndex: number, hostIndex: number, port: number) => { readonly address: string, readonly listen: string }
 
-function planHosts (profile: LoadProfile, platform: string, place: Place): readonly HostPlan[] {
-  const placed = Array.from({ length: profile.hosts }, (_, index) => {
+function planHosts (profile: LoadProfile, platform: string, allocateAddress: AllocateAddress): readonly HostPlan[] {
+  const allocatedHosts = Array.from({ length: profile.hosts }, (_, index) => {
     const hallIndex = index % profile.halls.length
-    const item = Math.floor(index / profile.halls.length)
-    const placeAt = (port: number) => place(BLOCKS.host, BLOCKS.hostBehind, hallIndex, item, port)
-    return { index, hall: profile.halls[hallIndex] ?? '', steward: placeAt(PORTS.steward), operator: placeAt(PORTS.operator), gate: placeAt(PORTS.gate) }
+    const indexInHall = Math.floor(index / profile.halls.length)
+    const allocatePort = (port: number) => allocateAddress(ADDRESS_BLOCKS.host, ADDRESS_BLOCKS.hostBehindRelay, hallIndex, indexInHall, port)
+    return { index, hall: profile.halls[hallIndex] ?? '', steward: allocatePort(PORTS.steward), operator: allocatePort(PORTS.operator), gate: allocatePort(PORTS.gate) }
   })
-  const seeds = placed.map(host => host.steward.address)
-  return placed.map(host => {
+  const seeds = allocatedHosts.map(host => host.steward.address)
+  return allocatedHosts.map(host => {
     const ip = host.steward.address.split(':')[0] ?? ''
     const listenIp = host.steward.listen.split(':')[0] ?? ''
     // A gate prefers the steward of its own host, then others of its hall.
-    const others = placed.filter(other => other !== host).sort((a, b) => Number(b.hall === host.hall) - Number(a.hall === host.hall))
+    const others = allocatedHosts.filter(other => other !== host).sort((a, b) => Number(b.hall === host.hall) - Number(a.hall === host.hall))
     return {
       name: `host-${host.index}`,
       hall: host.hall,
@@ -161,12 +161,12 @@
   readonly mayCallTwice: boolean
 }
 
-function planUpstreams (profile: LoadProfile, place: Place): readonly PlannedUpstream[] {
+function planUpstreams (profile: LoadProfile, allocateAddress: AllocateAddress): readonly PlannedUpstream[] {
   const planned: PlannedUpstream[] = []
   for (const group of profile.upstreams) {
     for (let index = 0; index < group.count; index++) {
       const hallIndex = index % profile.halls.length
-      const { address, listen } = place(BLOCKS.upstream, BLOCKS.upstreamBehind, hallIndex, planned.length % MAX_HOSTS_IN_BLOCK, PORTS.upstream + Math.floor(planned.length / MAX_HOSTS_IN_BLOCK))
+      const { address, listen } = allocateAddress(ADDRESS_BLOCKS.upstream, ADDRESS_BLOCKS.upstreamBehindRelay, hallIndex, planned.length % MAX_ADDRESSES_PER_BLOCK, PORTS.upstream + Math.floor(planned.length / MAX_ADDRESSES_PER_BLOCK))
       const { count: _count, model, may_call_twice: mayCallTwice, ...shape } = group
       const settings: StandinUpstream = {
         ...shape,
--- a/src/load/gateBench.ts
+++ b/src/load/gateBench.ts
@@ -1,5 +1,5 @@
 /**
- * What one gate does: requests and chunks a second, and what it adds to a stage against calling the upstream directly.
+ * Measures one gate: requests and chunks per second, and the latency that it adds compared with calling the upstream directly.
  */
 import { Agent, request } from 'node:http'
 import { build } from 'hdr-histogram-js'
@@ -31,21 +31,21 @@
 }
 
 const WARM_UP_MS = 4000
-const MICROSECONDS = 1000
+const MICROSECONDS_PER_MS = 1000
 
-/** Repeats a call one after the other; the median in milliseconds. */
+/** Repeats a call sequentially and returns the median latency in milliseconds. */
 async function measureMedian (durationMs: number, call: () => Promise<void>): Promise<number> {
   const times = build({ highestTrackableValue: 60_000_000 })
   const until = performance.now() + durationMs
   while (performance.now() < until) {
     const startedAt = performance.now()
     await call()
-    times.recordValue(Math.round((performance.now() - startedAt) * MICROSECONDS))
+    times.recordValue(Math.round((performance.now() - startedAt) * MICROSECONDS_PER_MS))
   }
-  return times.getValueAtPercentile(50) / MICROSECONDS
+  return times.getValueAtPercentile(50) / MICROSECONDS_PER_MS
 }
 
-/** Repeats a call in so many loops at once; calls a second. */
+/** Repeats a call in concurrent loops and returns the number of calls per second. */
 async function measureRate (durationMs: number, concurrency: number, call: () => Promise<void>): Promise<number> {
   const startedAt = performance.now()
   let count = 0
@@ -78,24 +78,24 @@
   const fleet = new ProcessFleet(plan, profile, directory, false)
   const [host] = plan.hosts
   const gateMetrics = host?.gate.metrics_address ?? ''
-  const readProcessor = async () => readMetric(await readMetricsPage(gateMetrics), 'process_cpu_seconds') * 1000
-  const readMemory = async (address: string) => readMetric(await readMetricsPage(address), 'process_resident_bytes') / 2 ** 20
+  const readCpuMs = async () => readMetric(await readMetricsPage(gateMetrics), 'process_cpu_seconds') * 1000
+  const readResidentMb = async (address: string) => readMetric(await readMetricsPage(address), 'process_resident_bytes') / 2 ** 20
   const client = new PepperwoodClient({ entries: [host?.gate.address ?? ''], customer: 'only', key: formatCustomerKey('only') })
   const submit = (pipeline: string, input: string) => async () => {
     const result = await client.submit({ pipeline, input, deadlineMs: 4000 })
     result.ifLeft(error => { throw error })
   }
-  /** Rate, and the gate's processor time for each call. */
+  /** Returns the rate, and the gate's CPU time for each call. */
   const measure = async (call: () => Promise<void>) => {
     await measureRate(WARM_UP_MS, concurrency, call)
-    const before = await readProcessor()
+    const before = await readCpuMs()
     const rate = await measureRate(measureMs, concurrency, call)
-    return { rate, gateMs: (await readProcessor() - before) / (rate * measureMs / 1000) }
+    return { rate, gateMs: (await readCpuMs() - before) / (rate * measureMs / 1000) }
   }
   try {
     await fleet.start()
-    const idleGateMb = await readMemory(gateMetrics)
-    const idleStewardMb = await readMemory(host?.steward.metrics_address ?? '')
+    const idleGateMb = await readResidentMb(gateMetrics)
+    const idleStewardMb = await readResidentMb(host?.steward.metrics_address ?? '')
     const short = await measure(submit('short', 'x'))
     const tokens = profile.pipelines.find(pipeline => pipeline.name === 'long')?.max_tokens ?? 1
     const long = await measure(submit('long', `tokens=${tokens}`))
--- a/src/load/htmlReport.ts
+++ b/src/load/htmlReport.ts
@@ -1,5 +1,5 @@
 /**
- * A report of a run as one HTML file that needs nothing else: tables and plots drawn as SVG.
+ * Renders the report of a run as one self-contained HTML file with tables and SVG plots.
  */
 import type { LoadReport } from './loadReport.ts'
 import { formatReport } from './loadReport.ts'
@@ -15,12 +15,11 @@
   readonly points: readonly (readonly [number, number])[]
 }
 
-/** Writes text so that it stays text within HTML. */
-function formatText (text: string): string {
+function encodeHtml (text: string): string {
   return text.replaceAll('&', '&amp;').replaceAll('<', '&lt;').replaceAll('>', '&gt;')
 }
 
-/** Lines over a common pair of axes that start at 0. */
+/** Renders a line chart whose axes start at 0. */
 export function renderSvg (xLabel: string, series: readonly Series[]): string {
   const points = series.flatMap(item => item.points)
   const maxX = Math.max(1, ...points.map(([x]) => x))
@@ -28,18 +27,18 @@
   const placeX = (x: number) => MARGIN + x / maxX * (WIDTH - 2 * MARGIN)
   const placeY = (y: number) => HEIGHT - MARGIN - y / maxY * (HEIGHT - 2 * MARGIN)
   const lines = series.map(item => `<polyline fill="none" stroke="${item.color}" stroke-width="1.5" points="${item.points.map(([x, y]) => `${placeX(x).toFixed(1)},${placeY(y).toFixed(1)}`).join(' ')}"/>`)
-  const legend = series.map((item, index) => `<text x="${MARGIN + 300 * index}" y="${HEIGHT - 4}" fill="${item.color}" font-size="11">${formatText(item.name)}</text>`)
+  const legend = series.map((item, index) => `<text x="${MARGIN + 300 * index}" y="${HEIGHT - 4}" fill="${item.color}" font-size="11">${encodeHtml(item.name)}</text>`)
   return `<svg xmlns="http://www.w3.org/2000/svg" width="${WIDTH}" height="${HEIGHT}" font-family="sans-serif">
 <line x1="${MARGIN}" y1="${placeY(0)}" x2="${WIDTH - MARGIN}" y2="${placeY(0)}" stroke="#888"/><line x1="${MARGIN}" y1="${MARGIN}" x2="${MARGIN}" y2="${placeY(0)}" stroke="#888"/>
-<text x="2" y="${MARGIN}" font-size="11">${maxY.toPrecision(3)}</text><text x="2" y="${placeY(0)}" font-size="11">0</text><text x="${WIDTH - MARGIN - 60}" y="${placeY(0) + 14}" font-size="11">${maxX.toPrecision(3)} ${formatText(xLabel)}</text>
+<text x="2" y="${MARGIN}" font-size="11">${maxY.toPrecision(3)}</text><text x="2" y="${placeY(0)}" font-size="11">0</text><text x="${WIDTH - MARGIN - 60}" y="${placeY(0) + 14}" font-size="11">${maxX.toPrecision(3)} ${encodeHtml(xLabel)}</text>
 ${lines.join('\n')}${legend.join('')}</svg>`
 }
 
 function renderPlot (title: string, xLabel: string, series: readonly Series[]): string {
-  return `<h3>${formatText(title)}</h3>${renderSvg(xLabel, series)}`
+  return `<h3>${encodeHtml(title)}</h3>${renderSvg(xLabel, series)}`
 }
 
-/** Requests of each second by how they ended. */
+/** Counts the requests of each second by outcome. */
 function createTimeline (outcomes: readonly Outcome[]): readonly Series[] {
   const seconds = 1 + Math.max(0, ...outcomes.map(outcome => Math.floor(outcome.arrival.atMs / 1000)))
   const countBy = (kind: Outcome['kind']) => Array.from({ length: seconds }, (_, second) => {
@@ -52,16 +51,16 @@
   ]
 }
 
-/** Share of whole answers that took at most so long. */
+/** The cumulative distribution of the time to the whole answer. */
 function createLatencyCurve (outcomes: readonly Outcome[]): readonly Series[] {
   const times = outcomes.filter(outcome => outcome.kind === 'whole').map(outcome => outcome.elapsedMs).sort((a, b) => a - b)
   return [{ name: 'share answered', color: '#27c', points: times.map((ms, index) => [ms, (index + 1) / times.length] as const) }]
 }
 
 export function renderReport (title: string, report: LoadReport, outcomes: readonly Outcome[]): string {
-  return `<!doctype html><html lang="en"><meta charset="utf-8"><title>${formatText(title)}</title>
-<body style="font-family:sans-serif;max-width:60em;margin:2em auto"><h1>${formatText(title)}</h1>
-<pre>${formatText(formatReport(report))}</pre>
+  return `<!doctype html><html lang="en"><meta charset="utf-8"><title>${encodeHtml(title)}</title>
+<body style="font-family:sans-serif;max-width:60em;margin:2em auto"><h1>${encodeHtml(title)}</h1>
+<pre>${encodeHtml(formatReport(report))}</pre>
 ${renderPlot('Requests by second of arrival', 's', createTimeline(outcomes))}
 ${renderPlot('Time to the whole answer', 'ms', createLatencyCurve(outcomes))}
 </body></html>
--- a/src/load/lab/labScore.ts
+++ b/src/load/lab/labScore.ts
@@ -1,17 +1,16 @@
 /**
- * What callers got in a run of the laboratory, and what it cost.
+ * Scores a simulated run: the credit for answers, less the costs of wasted work, data transfer, refusals and waiting.
  */
-import type { LabKind } from './labDeployment.ts'
+import type { LabRequestKind } from './labDeployment.ts'
 
-/** How one request ended. */
-export interface LabEnd {
-  readonly kind: LabKind
+export interface LabOutcome {
+  readonly kind: LabRequestKind
   readonly sentAt: number
-  /** Undefined when it was not answered. */
+  /** Undefined if the request was not answered. */
   readonly answeredAt: number | undefined
   readonly refusals: number
-  /** How long it was held without being answered. */
-  readonly heldMs: number
+  /** Time that the request waited in attempts that ended without an answer. */
+  readonly unansweredMs: number
 }
 
 export interface LabCosts {
@@ -23,7 +22,7 @@
 }
 
 export interface LabScore {
-  /** What counts, with costs taken off. */
+  /** The weighted credit shares less all cost shares. */
   readonly value: number
   readonly whole: number
   readonly worstSpans: number
@@ -37,53 +36,58 @@
   readonly noRoom: number
 }
 
-const SPAN_MS = 2000
-/** The weights by which users value a day: the whole, the worst seconds, the worst kind. */
+/** Length of the windows over which the worst spans are determined. */
+const WINDOW_MS = 2000
+/** Weights of the whole run, of the two worst windows and of the worst kind of request. */
 const WEIGHTS = { whole: 0.6, spans: 0.25, kind: 0.15 }
-/** In credit: a second of thrown away work, a gigabyte between halls, the part of a request's credit for a second refusal. */
-const WASTED_PER_S = 2.6
-const MOVED_PER_GB = 84
-const REFUSED_AGAIN = 0.3
-const HELD_FREE_SHARE = 1 / 8
-const HELD_WHOLE_SHARE = 0.75
+/** Credit deducted for each second of wasted work. */
+const WASTED_CREDIT_PER_S = 2.6
+/** Credit deducted for each gigabyte moved between halls. */
+const MOVED_CREDIT_PER_GB = 84
+/** The share of a request's credit that is deducted for a second refusal. */
+const SECOND_REFUSAL_SHARE = 0.3
+/** An unanswered wait costs nothing up to this share of the goal. */
+const HOLD_FREE_GOAL_SHARE = 1 / 8
+/** An unanswered wait costs the request's full credit from this share of the deadline on. */
+const HOLD_FULL_DEADLINE_SHARE = 0.75
 const BYTES_PER_GB = 1e9
 const MS_PER_S = 1000
 
-function computeCredit ({ kind, sentAt, answeredAt }: LabEnd): number {
+function computeCredit ({ kind, sentAt, answeredAt }: LabOutcome): number {
   if (answeredAt === undefined || answeredAt - sentAt > kind.deadlineMs) return 0
-  return answeredAt - sentAt <= kind.goalMs ? kind.worth : kind.lateWorth
+  return answeredAt - sentAt <= kind.goalMs ? kind.credit : kind.lateCredit
 }
 
-function computeShare (ends: readonly LabEnd[]): number {
-  const owed = ends.reduce((sum, end) => sum + end.kind.worth, 0)
-  return owed === 0 ? 1 : ends.reduce((sum, end) => sum + computeCredit(end), 0) / owed
+function computeCreditShare (outcomes: readonly LabOutcome[]): number {
+  const maxCredit = outcomes.reduce((sum, outcome) => sum + outcome.kind.credit, 0)
+  return maxCredit === 0 ? 1 : outcomes.reduce((sum, outcome) => sum + computeCredit(outcome), 0) / maxCredit
 }
 
-function computeHeld (end: LabEnd): number {
-  if (end.answeredAt !== undefined) return 0
-  const free = end.kind.goalMs * HELD_FREE_SHARE
-  const whole = end.kind.deadlineMs * HELD_WHOLE_SHARE
-  return end.kind.worth * Math.min(1, Math.max(0, (end.heldMs - free) / (whole - free)))
+function computeHoldPenalty (outcome: LabOutcome): number {
+  if (outcome.answeredAt !== undefined) return 0
+  const freeMs = outcome.kind.goalMs * HOLD_FREE_GOAL_SHARE
+  const fullMs = outcome.kind.deadlineMs * HOLD_FULL_DEADLINE_SHARE
+  return outcome.kind.credit * Math.min(1, Math.max(0, (outcome.unansweredMs - freeMs) / (fullMs - freeMs)))
 }
 
-export function scoreRun (ends: readonly LabEnd[], costs: LabCosts): LabScore {
-  const owed = ends.reduce((sum, end) => sum + end.kind.worth, 0)
-  const spans = new Map<number, LabEnd[]>()
-  const kinds = new Map<string, LabEnd[]>()
-  for (const end of ends) {
-    const span = Math.floor(end.sentAt / SPAN_MS)
-    spans.set(span, [...spans.get(span) ?? [], end])
-    kinds.set(end.kind.name, [...kinds.get(end.kind.name) ?? [], end])
+export function scoreRun (outcomes: readonly LabOutcome[], costs: LabCosts): LabScore {
+  const maxCredit = outcomes.reduce((sum, outcome) => sum + outcome.kind.credit, 0)
+  const outcomesByWindow = new Map<number, LabOutcome[]>()
+  const outcomesByKind = new Map<string, LabOutcome[]>()
+  for (const outcome of outcomes) {
+    const window = Math.floor(outcome.sentAt / WINDOW_MS)
+    outcomesByWindow.set(window, [...outcomesByWindow.get(window) ?? [], outcome])
+    outcomesByKind.set(outcome.kind.name, [...outcomesByKind.get(outcome.kind.name) ?? [], outcome])
   }
-  const [first = 1, second = 1] = [...spans.values()].map(computeShare).sort((a, b) => a - b)
-  const byKind = Object.fromEntries([...kinds].map(([name, own]) => [name, computeShare(own)]))
-  const whole = computeShare(ends)
+  const [worstShare = 1, secondWorstShare = 1] = [...outcomesByWindow.values()].map(computeCreditShare).sort((a, b) => a - b)
+  const byKind = Object.fromEntries([...outcomesByKind].map(([name, ofKind]) => [name, computeCreditShare(ofKind)]))
+  const whole = computeCreditShare(outcomes)
   const worstKind = Math.min(...Object.values(byKind))
-  const wastedShare = costs.wastedMs / MS_PER_S * WASTED_PER_S / owed
-  const movedShare = costs.movedBytes / BYTES_PER_GB * MOVED_PER_GB / owed
-  const refusedShare = ends.reduce((sum, end) => sum + (end.answeredAt === undefined && end.refusals > 1 ? end.kind.worth : 0), 0) * REFUSED_AGAIN / owed
-  const heldShare = ends.reduce((sum, end) => sum + computeHeld(end), 0) / owed
-  const worstSpans = (first + second) / 2
+  const wastedShare = costs.wastedMs / MS_PER_S * WASTED_CREDIT_PER_S / maxCredit
+  const movedShare = costs.movedBytes / BYTES_PER_GB * MOVED_CREDIT_PER_GB / maxCredit
+  const refusedShare = outcomes.reduce((sum, outcome) => sum + (outcome.answeredAt === undefined && outcome.refusals > 1 ? outcome.kind.credit : 0), 0) * SECOND_REFUSAL_SHARE / maxCredit
+  const heldShare = outcomes.reduce((sum, outcome) => sum + computeHoldPenalty(outcome), 0) / maxCredit
+  const worstSpans = (worstShare + secondWorstShare) / 2
   const value = WEIGHTS.whole * whole + WEIGHTS.spans * worstSpans + WEIGHTS.kind * worstKind - wastedShare - movedShare - refusedShare - heldShare
   return { value, whole, worstSpans, worstKind, byKind, refusedShare, wastedShare, movedShare, heldShare, piecesPerCall: costs.pieces / Math.max(1, costs.calls), noRoom: costs.noRoom }
 }
--- a/src/load/lab/labUpstreamModel.ts
+++ b/src/load/lab/labUpstreamModel.ts
@@ -1,11 +1,11 @@
 /**
- * An upstream that makes pieces, in virtual time: one call at a time and a short queue, room for results, results that
- * expire.
+ * Simulates an upstream that computes pieces, in virtual time: it runs one call at a time with a short queue, and stores
+ * results in limited space until they expire.
  */
 import type { PieceCallOutcome, PieceOutcome, PlannedCall } from '../../services/preparation/common/plannedCall.ts'
-import type { LabSlowness, LabUpstream } from './labDeployment.ts'
+import type { LabSlowdown, LabUpstream } from './labDeployment.ts'
 
-/** What the laboratory knows of a piece beyond its call. */
+/** Properties of a piece that the planned call does not carry. */
 export interface LabPiece {
   readonly bytes: number
   readonly costFactor: number
@@ -17,62 +17,62 @@
   readonly workMs: number
 }
 
-interface KeptResult {
+interface StoredResult {
   readonly bytes: number
-  readonly until: number
+  readonly expiresAt: number
 }
 
 const MAX_QUEUED_MS = 800
-const HOP_MS = 3
+const NETWORK_DELAY_MS = 3
 
 export class LabUpstreamModel {
   readonly hall: string
-  private readonly _kept = new Map<string, KeptResult>()
+  private readonly _results = new Map<string, StoredResult>()
   private _busyUntil = 0
-  private _made = 0
+  private _resultCount = 0
 
-  constructor (private readonly _upstream: LabUpstream, private readonly _slowness: readonly LabSlowness[]) {
+  constructor (private readonly _upstream: LabUpstream, private readonly _slowdowns: readonly LabSlowdown[]) {
     this.hall = _upstream.hall
   }
 
-  holdsResult (handle: string, now: number): boolean {
-    return (this._kept.get(handle)?.until ?? -1) > now
+  hasResult (handle: string, now: number): boolean {
+    return (this._results.get(handle)?.expiresAt ?? -1) > now
   }
 
   free (handles: readonly string[]): void {
-    for (const handle of handles) this._kept.delete(handle)
+    for (const handle of handles) this._results.delete(handle)
   }
 
-  /** Plans the whole call; room is taken from now on, since the call would take it at its turn. */
-  run (call: PlannedCall, pieces: readonly LabPiece[], hasInputs: (handle: string) => boolean, now: number): LabCallResult {
-    const startAt = Math.max(now + HOP_MS, this._busyUntil)
-    if (startAt - now > MAX_QUEUED_MS) return { outcome: { kind: 'notRun', reason: 'full' }, endAt: now + 2 * HOP_MS, workMs: 0 }
-    for (const [handle, kept] of this._kept) if (kept.until <= startAt) this._kept.delete(handle)
+  /** Computes the whole call's outcome at once. Space for its results is occupied from now on, not from when the call starts. */
+  run (call: PlannedCall, pieces: readonly LabPiece[], isInputAvailable: (handle: string) => boolean, now: number): LabCallResult {
+    const startAt = Math.max(now + NETWORK_DELAY_MS, this._busyUntil)
+    if (startAt - now > MAX_QUEUED_MS) return { outcome: { kind: 'notRun', reason: 'full' }, endAt: now + 2 * NETWORK_DELAY_MS, workMs: 0 }
+    for (const [handle, stored] of this._results) if (stored.expiresAt <= startAt) this._results.delete(handle)
     const { work } = this._upstream
     let usedBytes = 0
-    for (const kept of this._kept.values()) usedBytes += kept.bytes
-    let costs = 0
-    const made: (PieceOutcome | undefined)[] = call.pieces.map((piece, index) => {
+    for (const stored of this._results.values()) usedBytes += stored.bytes
+    let totalCostFactor = 0
+    const failures: (PieceOutcome | undefined)[] = call.pieces.map((piece, index) => {
       const spec = pieces[index]
-      if (spec === undefined || !piece.inputs.every(hasInputs)) return { kind: 'failed', reason: 'inputGone' }
+      if (spec === undefined || !piece.inputs.every(isInputAvailable)) return { kind: 'failed', reason: 'inputGone' }
       if (usedBytes + spec.bytes > work.resultRoomBytes) return { kind: 'failed', reason: 'noRoom' }
       usedBytes += spec.bytes
-      costs += spec.costFactor
+      totalCostFactor += spec.costFactor
       return undefined
     })
-    const workMs = (work.callMs + work.pieceMs * costs) * this._computeSlowness(startAt)
+    const workMs = (work.callMs + work.pieceMs * totalCostFactor) * this._computeSlowdownFactor(startAt)
     this._busyUntil = startAt + workMs
-    const outcomes = made.map((outcome, index): PieceOutcome => {
+    const outcomes = failures.map((outcome, index): PieceOutcome => {
       if (outcome !== undefined) return outcome
-      const handle = `${this._upstream.id}/${++this._made}`
-      this._kept.set(handle, { bytes: pieces[index]?.bytes ?? 0, until: this._busyUntil + work.resultLifetimeMs })
+      const handle = `${this._upstream.id}/${++this._resultCount}`
+      this._results.set(handle, { bytes: pieces[index]?.bytes ?? 0, expiresAt: this._busyUntil + work.resultLifetimeMs })
       return { kind: 'made', handle }
     })
-    return { outcome: { kind: 'answered', pieces: outcomes }, endAt: this._busyUntil + HOP_MS, workMs }
+    return { outcome: { kind: 'answered', pieces: outcomes }, endAt: this._busyUntil + NETWORK_DELAY_MS, workMs }
   }
 
-  private _computeSlowness (at: number): number {
-    const span = this._slowness.find(slowness => slowness.upstreamId === this._upstream.id && at >= slowness.at && at < slowness.at + slowness.forMs)
-    return span?.factor ?? 1
+  private _computeSlowdownFactor (at: number): number {
+    const slowdown = this._slowdowns.find(candidate => candidate.upstreamId === this._upstream.id && at >= candidate.startAt && at < candidate.startAt + candidate.durationMs)
+    return slowdown?.factor ?? 1
   }
 }
--- a/src/load/lab/virtualEvents.ts
+++ b/src/load/lab/virtualEvents.ts
@@ -1,14 +1,14 @@
 /**
- * Events in virtual time, run in their order.
+ * Schedules callbacks in virtual time and runs them in the order of their time.
  */
 
-interface VirtualEvent {
+interface ScheduledEvent {
   readonly at: number
   readonly run: () => void
 }
 
 export class VirtualEvents {
-  private readonly _heap: VirtualEvent[] = []
+  private readonly _heap: ScheduledEvent[] = []
   private _now = 0
 
   get now (): number {
@@ -21,23 +21,23 @@
     let index = heap.push(event) - 1
     while (index > 0) {
       const parent = (index - 1) >> 1
-      const above = heap[parent]
-      if (above === undefined || above.at <= event.at) break
-      heap[index] = above
+      const parentEvent = heap[parent]
+      if (parentEvent === undefined || parentEvent.at <= event.at) break
+      heap[index] = parentEvent
       index = parent
     }
     heap[index] = event
   }
 
-  /** Runs all events, also those that events add. */
+  /** Runs all events up to the time given, including those that other events schedule. */
   advance (untilMs: number): void {
-    for (let event = this._take(); event !== undefined && event.at <= untilMs; event = this._take()) {
+    for (let event = this._dequeue(); event !== undefined && event.at <= untilMs; event = this._dequeue()) {
       this._now = event.at
       event.run()
     }
   }
 
-  private _take (): VirtualEvent | undefined {
+  private _dequeue (): ScheduledEvent | undefined {
     const heap = this._heap
     const first = heap[0]
     const last = heap.pop()
@@ -47,9 +47,9 @@
       let child = 2 * index + 1
       if (child >= heap.length) break
       if ((heap[child + 1]?.at ?? Infinity) < (heap[child]?.at ?? Infinity)) child++
-      const below = heap[child]
-      if (below === undefined || below.at >= last.at) break
-      heap[index] = below
+      const childEvent = heap[child]
+      if (childEvent === undefined || childEvent.at >= last.at) break
+      heap[index] = childEvent
       index = child
     }
     heap[index] = last
--- a/src/load/labCommand.ts
+++ b/src/load/labCommand.ts
@@ -1,8 +1,8 @@
 /**
- * `pepperwood-load lab`: the planner of pieces in virtual time on drawn deployments.
+ * `pepperwood-load lab`: runs the planner of pieces in virtual time on randomly generated deployments.
  */
 import { defineCommand } from 'citty'
-import { drawDeployment } from './lab/labDeployment.ts'
+import { generateDeployment } from './lab/labDeployment.ts'
 import { LabRun } from './lab/labRun.ts'
 import type { LabScore } from './lab/labScore.ts'
 
@@ -12,7 +12,7 @@
   return values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length)
 }
 
-/** Half of the 95% interval of a mean. */
+/** Half the width of the 95% confidence interval of the mean. */
 function computeMargin (values: readonly number[]): number {
   const mean = computeMean(values)
   const variance = values.reduce((sum, value) => sum + (value - mean) ** 2, 0) / Math.max(1, values.length - 1)
@@ -29,15 +29,15 @@
 }
 
 export const labCommand = defineCommand({
-  meta: { name: 'lab', description: 'Plan the pieces of drawn deployments in virtual time; the same seeds draw the same days' },
+  meta: { name: 'lab', description: 'Run the planner of pieces on generated deployments in virtual time; the same seeds give the same runs' },
   args: {
     first: { type: 'string', default: '1', description: 'the first seed' },
-    count: { type: 'string', default: '40', description: 'deployments to draw' },
-    json: { type: 'boolean', default: false, description: 'one line of JSON for each deployment in place of the table' }
+    count: { type: 'string', default: '40', description: 'number of deployments to generate' },
+    json: { type: 'boolean', default: false, description: 'one line of JSON for each deployment instead of the table' }
   },
   run ({ args }) {
     const seeds = Array.from({ length: Number(args.count) }, (_, index) => Number(args.first) + index)
-    const scores = seeds.map(seed => new LabRun(drawDeployment(seed)).run())
+    const scores = seeds.map(seed => new LabRun(generateDeployment(seed)).run())
     process.stdout.write(args.json ? scores.map((score, index) => `${JSON.stringify({ seed: seeds[index], ...score })}\n`).join('') : `${formatTable(scores)}\n`)
   }
 })
--- a/src/load/loadProfile.ts
+++ b/src/load/loadProfile.ts
@@ -1,5 +1,5 @@
 /**
- * A profile: a user's fleet, customers and load, as read from TOML.
+ * Schema of a profile: a fleet with its customers and its load, read from a TOML file.
  */
 import { Schema } from 'effect'
 import { PositiveMs } from '../services/settings/node/settingsFile.ts'
@@ -36,7 +36,7 @@
   stages: Schema.NonEmptyArray(ProfileStage),
   /** Share of arrivals relative to the other pipelines. */
   share: Positive,
-  /** Share of its requests that are marked unrepeatable. */
+  /** The share of requests that are marked unrepeatable. */
   unrepeatable_share: Schema.optionalWith(Share, { default: () => 0 }),
   min_tokens: Schema.optionalWith(Count, { default: () => 8 }),
   max_tokens: Schema.optionalWith(Count, { default: () => 24 })
@@ -47,19 +47,19 @@
   weight: Schema.optionalWith(Count, { default: () => 1 }),
   /** Share of arrivals relative to the other customers. */
   share: Positive,
-  /** Prompt beginnings that its requests share. */
+  /** Number of distinct prompt prefixes in the customer's requests. */
   prefixes: Schema.optionalWith(Count, { default: () => 12 })
 })
 
 export const LoadProfileSchema = Schema.Struct({
   name: Schema.NonEmptyString,
   halls: Schema.NonEmptyArray(Schema.NonEmptyString),
-  /** Entry hosts, spread over the halls. */
+  /** Number of entry hosts, distributed evenly over the halls. */
   hosts: Count.pipe(Schema.positive()),
-  /** Round trips, in milliseconds; delays below the timers' resolution of one millisecond are left out. */
+  /** Round-trip times, in milliseconds. Delays below the timers' resolution of one millisecond are not simulated. */
   hall_rtt_ms: Schema.Number,
   client_rtt_ms: Schema.Number,
-  /** Requests a second that the fleet is sized for: steady load is a part of it. */
+  /** Requests per second that the fleet is sized for. A scenario's rate is a share of it. */
   nominal_rate: Positive,
   upstreams: Schema.NonEmptyArray(UpstreamGroup),
   pipelines: Schema.NonEmptyArray(PipelineSchema),
--- a/src/load/loadReport.ts
+++ b/src/load/loadReport.ts
@@ -1,5 +1,5 @@
 /**
- * What a run came to: attainment by customer and pipeline, cost by stage, and the counters that must be 0.
+ * Summarizes a run: attainment by customer and pipeline, cost by stage, and correctness counters that must be 0.
  */
 import { build } from 'hdr-histogram-js'
 import type { Configuration } from '../generated/pepperwood/v1/pepperwood_pb.ts'
@@ -7,17 +7,17 @@
 import type { RunRecord } from '../standin/runLedger.ts'
 import type { Outcome } from './loadRunner.ts'
 
-/** Must all be 0. */
+/** Counters of violated guarantees. All must be 0. */
 export interface CorrectnessCounters {
-  /** Neither answered nor refused. */
+  /** Requests that were neither answered nor refused. */
   readonly lost: number
-  /** Unrepeatable work that ran more than once. */
+  /** Unrepeatable stages that ran more than once. */
   readonly doubled: number
-  /** A whole answer that is not the request's own. */
+  /** Answers that do not belong to the request. */
   readonly misdelivered: number
-  /** Refused as not run, and yet something ran. */
+  /** Requests that were refused as not run although a stage had run. */
   readonly ranAfterNotRun: number
-  /** Calls sent to upstreams that had been leaving for more than two seconds. */
+  /** Calls sent to upstreams more than two seconds after they announced that they were leaving. */
   readonly sentToLeaving: number
 }
 
@@ -34,7 +34,7 @@
   readonly role: string
   readonly attempts: number
   readonly busyMs: number
-  /** Busy time for answers that nobody got. */
+  /** Busy time that did not contribute to an answer within its deadline. */
   readonly wastedMs: number
 }
 
@@ -44,7 +44,7 @@
   readonly byCustomer: readonly AttainmentRow[]
   readonly byPipeline: readonly AttainmentRow[]
   readonly byResult: Readonly<Record<string, number>>
-  /** Refusals by place and message, numbers left out. */
+  /** Refusals by place and message, with numbers replaced by N. */
   readonly byReason: Readonly<Record<string, number>>
   readonly costs: readonly CostRow[]
   readonly wastedShare: number
@@ -57,14 +57,14 @@
   readonly configuration: Configuration
   readonly outcomes: readonly Outcome[]
   readonly runs: readonly RunRecord[]
-  /** Busy time by role, as the stand-ins counted it. */
+  /** Busy time by role in milliseconds, as counted by the stand-ins. */
   readonly busyByRole: ReadonlyMap<string, number>
   readonly callsAfterLeaving: number
 }
 
 const MAX_TRACKED_MS = 120_000
 
-function summarize (name: string, outcomes: readonly Outcome[]): AttainmentRow {
+function summarizeOutcomes (name: string, outcomes: readonly Outcome[]): AttainmentRow {
   const whole = outcomes.filter(outcome => outcome.kind === 'whole')
   const times = build({ highestTrackableValue: MAX_TRACKED_MS })
   for (const outcome of whole) times.recordValue(Math.round(outcome.elapsedMs))
@@ -78,19 +78,19 @@
   }
 }
 
-function groupBy (outcomes: readonly Outcome[], choose: (outcome: Outcome) => string): readonly AttainmentRow[] {
+function groupBy (outcomes: readonly Outcome[], getKey: (outcome: Outcome) => string): readonly AttainmentRow[] {
   const groups = new Map<string, Outcome[]>()
-  for (const outcome of outcomes) groups.set(choose(outcome), [...groups.get(choose(outcome)) ?? [], outcome])
-  return [...groups].sort(([a], [b]) => a < b ? -1 : 1).map(([name, items]) => summarize(name, items))
+  for (const outcome of outcomes) groups.set(getKey(outcome), [...groups.get(getKey(outcome)) ?? [], outcome])
+  return [...groups].sort(([a], [b]) => a < b ? -1 : 1).map(([name, items]) => summarizeOutcomes(name, items))
 }
 
 function countCorrectness (inputs: LoadReportInputs): CorrectnessCounters {
   const runsByMarker = new Map<string, RunRecord[]>()
   for (const run of inputs.runs) {
     const key = run.marker
-    const known = runsByMarker.get(key)
-    if (known === undefined) runsByMarker.set(key, [run])
-    else known.push(run)
+    const existing = runsByMarker.get(key)
+    if (existing === undefined) runsByMarker.set(key, [run])
+    else existing.push(run)
   }
   const counters = { lost: 0, doubled: 0, misdelivered: 0, ranAfterNotRun: 0, sentToLeaving: inputs.callsAfterLeaving }
   for (const outcome of inputs.outcomes) {
@@ -109,7 +109,7 @@
   return counters
 }
 
-function sumUsefulByRole (outcomes: readonly Outcome[]): ReadonlyMap<string, number> {
+function sumUsefulBusyMs (outcomes: readonly Outcome[]): ReadonlyMap<string, number> {
   const useful = new Map<string, number>()
   for (const outcome of outcomes) {
     if (outcome.kind !== 'whole') continue
@@ -120,12 +120,12 @@
 
 export function createLoadReport (inputs: LoadReportInputs): LoadReport {
   const { outcomes, runs, busyByRole } = inputs
-  const useful = sumUsefulByRole(outcomes)
+  const usefulBusyMs = sumUsefulBusyMs(outcomes)
   const costs = [...busyByRole].map(([role, busyMs]) => ({
     role,
     attempts: runs.filter(run => run.role === role).length,
     busyMs,
-    wastedMs: Math.max(0, busyMs - (useful.get(role) ?? 0))
+    wastedMs: Math.max(0, busyMs - (usefulBusyMs.get(role) ?? 0))
   }))
   const byResult: Record<string, number> = {}
   const byReason: Record<string, number> = {}
@@ -138,18 +138,18 @@
   }
   const firstChunks = build({ highestTrackableValue: MAX_TRACKED_MS })
   for (const outcome of outcomes) if (outcome.kind === 'whole') firstChunks.recordValue(Math.max(0, Math.round(outcome.firstChunkMs)))
-  const firstAttempts = new Set(runs.map(run => `${run.marker}/${run.role}`)).size
-  const busy = costs.reduce((sum, cost) => sum + cost.busyMs, 0)
+  const firstAttemptCount = new Set(runs.map(run => `${run.marker}/${run.role}`)).size
+  const totalBusyMs = costs.reduce((sum, cost) => sum + cost.busyMs, 0)
   return {
     requests: outcomes.length,
-    attainment: summarize('all', outcomes).attainment,
+    attainment: summarizeOutcomes('all', outcomes).attainment,
     byCustomer: groupBy(outcomes, outcome => outcome.arrival.customer),
     byPipeline: groupBy(outcomes, outcome => outcome.arrival.pipeline),
     byResult,
     byReason,
     costs,
-    wastedShare: busy === 0 ? 0 : costs.reduce((sum, cost) => sum + cost.wastedMs, 0) / busy,
-    retryShare: firstAttempts === 0 ? 0 : (runs.length - firstAttempts) / firstAttempts,
+    wastedShare: totalBusyMs === 0 ? 0 : costs.reduce((sum, cost) => sum + cost.wastedMs, 0) / totalBusyMs,
+    retryShare: firstAttemptCount === 0 ? 0 : (runs.length - firstAttemptCount) / firstAttemptCount,
     firstChunkP95Ms: firstChunks.getValueAtPercentile(95),
     counters: countCorrectness(inputs)
   }
@@ -171,7 +171,7 @@
   ]
 }
 
-/** The closing table, for people. */
+/** Formats the report as plain text tables. */
 export function formatReport (report: LoadReport): string {
   const costWidths = [24, 9, 12, 12]
   const { counters } = report
--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the arrivals through the client library and keeps what became of each.
+ * Sends the arrivals through the client library and records the outcome of each.
  */
 import { waitFor } from '../base/node/interval.ts'
 import type { ClientError } from '../client/clientError.ts'
@@ -8,10 +8,9 @@
 import type { Arrival } from './arrivals.ts'
 import { formatClientIp, formatCustomerKey } from './fleetPlan.ts'
 
-/** What became of an arrival. */
 export interface Outcome {
   readonly arrival: Arrival
-  /** `lost` had neither an answer nor an error well after its deadline. */
+  /** `lost` if neither an answer nor an error arrived until well after the deadline. */
   readonly kind: 'whole' | 'late' | 'refused' | 'lost'
   readonly text: string
   readonly error: ClientError | undefined
@@ -26,12 +25,12 @@
   readonly customers: readonly string[]
   readonly entries: readonly string[]
   readonly network: number
-  /** Separate callers of each customer, with address answers of their own. */
+  /** Number of independent clients per customer. Each locates gates for itself. */
   readonly callersPerCustomer: number
   readonly onDidEnd?: (outcome: Outcome) => void
 }
 
-/** Answers must be here so long after the deadline at the latest. */
+/** Time after the deadline at which a request without an outcome counts as lost. */
 const LOST_AFTER_MS = 3000
 
 export async function runLoad (options: LoadRunnerOptions): Promise<readonly Outcome[]> {
@@ -49,9 +48,9 @@
       return outcome
     }))
   }
-  const ended = await Promise.all(outcomes)
+  const results = await Promise.all(outcomes)
   for (const group of callers.values()) for (const caller of group) caller.dispose()
-  return ended
+  return results
 }
 
 function createCallers (options: LoadRunnerOptions): ReadonlyMap<string, readonly PepperwoodClient[]> {
@@ -59,7 +58,7 @@
   return new Map(options.customers.map((customer, customerIndex) => {
     const group = Array.from({ length: callersPerCustomer }, (_, index) => {
       const number = customerIndex * callersPerCustomer + index
-      // Callers know different gates to ask first.
+      // Rotates the list, so that callers contact different gates first.
       const from = number % entries.length
       return new PepperwoodClient({
         entries: [...entries.slice(from), ...entries.slice(0, from)],
--- a/src/load/main.ts
+++ b/src/load/main.ts
@@ -1,5 +1,5 @@
 /**
- * The program `pepperwood-load`: load and experiments, for development only.
+ * Entry point of `pepperwood-load`, the load generator and benchmark tool for development.
  */
 import { defineCommand, runMain } from 'citty'
 import { benchCommand } from './benchCommand.ts'
--- a/src/load/memberBench.ts
+++ b/src/load/memberBench.ts
@@ -1,5 +1,6 @@
 /**
- * What membership and facts cost a host: real members of one fleet in this process, over loopback, without requests.
+ * Measures what membership and the exchange of facts cost each host. All members of a fleet run in this process and
+ * communicate over loopback; no requests are sent.
  */
 import { SeededRandom } from '../base/common/random.ts'
 import { SystemClock } from '../base/node/systemClock.ts'
@@ -11,27 +12,27 @@
 export interface MemberBenchOptions {
   readonly hosts: number
   readonly halls?: number
-  /** How long each phase is measured. */
+  /** Duration of each phase. */
   readonly phaseMs?: number
-  /** Upstreams that all hosts learn to be leaving, each second of the churn. */
-  readonly leavingsPerSecond?: number
+  /** Number of upstreams per second that are reported as leaving during the churn phase. */
+  readonly leavingFactsPerSecond?: number
   readonly port?: number
 }
 
-/** What one phase cost, per host. */
+/** Cost of one phase per host, except for `suspicions`, which is the total. */
 export interface MemberCost {
   readonly phase: 'start' | 'idle' | 'churn'
   readonly hosts: number
-  /** Hundredths of a core. */
+  /** Percent of one core. */
   readonly processorPercent: number
   readonly bytesPerSecond: number
   readonly links: number
-  /** Members that take another for lost though all live. */
+  /** Number of times that a member was suspected although all members are alive. */
   readonly suspicions: number
 }
 
 const DEFAULT_PORT = 7950
-/** Hosts come up within this time of each other after a loss of power. */
+/** The members start evenly distributed over this time, as hosts do after a loss of power. */
 const START_SPREAD_MS = 300
 const SEED_COUNT = 3
 
@@ -41,14 +42,14 @@
   private readonly _log = new LogService({ program: 'member-bench', silent: true })
 
   constructor (options: MemberBenchOptions) {
-    this._options = { halls: 5, phaseMs: 6000, leavingsPerSecond: 2, port: DEFAULT_PORT, ...options }
+    this._options = { halls: 5, phaseMs: 6000, leavingFactsPerSecond: 2, port: DEFAULT_PORT, ...options }
   }
 
   async run (): Promise<readonly MemberCost[]> {
     try {
       const start = await this._measure('start', () => this._startAll())
       const idle = await this._measure('idle', async () => {})
-      const churn = await this._measure('churn', () => this._spreadLeavings())
+      const churn = await this._measure('churn', () => this._publishLeavingFacts())
       return [start, idle, churn]
     } finally {
       for (const member of this._members) member.dispose()
@@ -67,23 +68,23 @@
     }))
   }
 
-  private async _spreadLeavings (): Promise<void> {
-    const { phaseMs, leavingsPerSecond } = this._options
-    const count = Math.round(phaseMs / 1000 * leavingsPerSecond)
+  private async _publishLeavingFacts (): Promise<void> {
+    const { phaseMs, leavingFactsPerSecond } = this._options
+    const count = Math.round(phaseMs / 1000 * leavingFactsPerSecond)
     for (let index = 0; index < count; index++) {
       const upstream = `upstream-${index}`
-      // Every host hears of it from its own source as well.
+      // Each host also receives the fact from its own source, not only from other members.
       for (const member of this._members) {
         member.facts.merge({ subject: formatLeavingSubject(upstream), incarnation: 1, counter: 1, value: { kind: 'leaving', upstream, signal: 'source' }, ageMs: 0 })
       }
-      await waitFor(1000 / leavingsPerSecond)
+      await waitFor(1000 / leavingFactsPerSecond)
     }
   }
 
-  private async _measure (phase: MemberCost['phase'], work: () => Promise<void>): Promise<MemberCost> {
+  private async _measure (phase: MemberCost['phase'], runPhase: () => Promise<void>): Promise<MemberCost> {
     const { hosts, phaseMs } = this._options
     const before = { usage: process.cpuUsage(), at: performance.now(), sent: this._sumSent(), suspicions: this._sumSuspicions() }
-    await Promise.all([work(), waitFor(phaseMs)])
+    await Promise.all([runPhase(), waitFor(phaseMs)])
     const usage = process.cpuUsage(before.usage)
     const seconds = (performance.now() - before.at) / 1000
     return {
--- a/src/load/membersCommand.ts
+++ b/src/load/membersCommand.ts
@@ -1,5 +1,5 @@
 /**
- * `pepperwood-load members`: what membership and facts cost a host, by the number of hosts.
+ * `pepperwood-load members`: measures what membership and the exchange of facts cost each host at several fleet sizes.
  */
 import { defineCommand } from 'citty'
 import { exitCodes } from '../services/program/node/program.ts'
@@ -7,7 +7,7 @@
 import type { MemberCost } from './memberBench.ts'
 
 const MIN_HOSTS = 2
-/** All run in this process, and keep up to 1,000 connections each where links are not bounded. */
+/** All members run in this process. Each may keep up to 1,000 connections if its links are not bounded. */
 const MAX_HOSTS = 400
 
 function formatCost ({ phase, hosts, processorPercent, bytesPerSecond, links, suspicions }: MemberCost): string {
--- a/src/load/processFleet.ts
+++ b/src/load/processFleet.ts
@@ -1,5 +1,5 @@
 /**
- * A whole fleet as processes of their own on loopback. Only this tool starts processes, and it ends only those.
+ * Runs a fleet as separate processes on loopback. It stops only the processes that it has started.
  */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
@@ -17,10 +17,10 @@
 
 const START_TIMEOUT_MS = 60_000
 const STOP_TIMEOUT_MS = 8_000
-const POLL_MS = 100
+const POLL_INTERVAL_MS = 100
 const SIGNALS = { kill: 'SIGKILL', stop: 'SIGSTOP', continue: 'SIGCONT', terminate: 'SIGTERM' } as const
 
-interface StartedProcess {
+interface ManagedProcess {
   readonly program: string
   readonly args: readonly string[]
   readonly child: ChildProcess
@@ -28,17 +28,17 @@
 
 export class ProcessFleet {
   readonly control: StandinControl
-  private readonly _processes = new Map<string, StartedProcess>()
-  private readonly _programs = dirname(fileURLToPath(import.meta.url))
+  private readonly _processes = new Map<string, ManagedProcess>()
+  private readonly _programDirectory = dirname(fileURLToPath(import.meta.url))
   private _version = 1
 
-  /** Settings and logs go to the directory. */
+  /** Settings files and logs are written to the directory. */
   constructor (private readonly _plan: FleetPlan, private readonly _profile: LoadProfile, private readonly _directory: string, private readonly _usesRelays: boolean, private readonly _gateCount = _plan.hosts.length) {
     this.control = new StandinControl(_plan.standins.map(standin => standin.listen))
     mkdirSync(_directory, { recursive: true })
   }
 
-  /** Resolves when every gate is ready and knows the others. */
+  /** Resolves when every gate is ready and has received that the other gates are ready. */
   async start (): Promise<void> {
     if (this._usesRelays) this._startRelays()
     this._plan.standins.forEach((settings, index) => this._startProgram(`standin-${index}`, 'pepperwood-standin', settings))
@@ -56,7 +56,7 @@
     else if (action === 'platform') await this.control.setPlatformFaults(faults)
     else if (action === 'cut' || action === 'heal') this._processes.get('relay')?.child.stdin?.write(`${action} ${target}\n`)
     else if (action === 'publish') await this.publishNext()
-    else if (action === 'start') await this._startAgain(target)
+    else if (action === 'start') await this._replaceProcess(target)
     else this._processes.get(target)?.child.kill(SIGNALS[action])
   }
 
@@ -67,12 +67,12 @@
     return this._version
   }
 
-  /** Ends what was started here, by process id. */
+  /** Kills the processes that this fleet has started. */
   async stop (): Promise<void> {
     const children = [...this._processes.values()].map(started => started.child)
     for (const child of children) if (child.exitCode === null) child.kill('SIGKILL')
     const until = performance.now() + STOP_TIMEOUT_MS
-    while (children.some(child => child.exitCode === null && child.signalCode === null) && performance.now() < until) await waitFor(POLL_MS)
+    while (children.some(child => child.exitCode === null && child.signalCode === null) && performance.now() < until) await waitFor(POLL_INTERVAL_MS)
   }
 
   private async _publish (): Promise<void> {
@@ -84,7 +84,7 @@
         return await this.control.publish('pepperwood/configuration', value)
       } catch (thrown) {
         if (performance.now() > until) throw thrown
-        await waitFor(POLL_MS)
+        await waitFor(POLL_INTERVAL_MS)
       }
     }
   }
@@ -104,16 +104,16 @@
 
   private _spawn (name: string, program: string, args: readonly string[]): void {
     const log = openSync(join(this._directory, `${name}.log`), 'a')
-    const child = spawn(process.execPath, [join(this._programs, `${program}.js`), ...args], { stdio: ['pipe', 'ignore', log] })
+    const child = spawn(process.execPath, [join(this._programDirectory, `${program}.js`), ...args], { stdio: ['pipe', 'ignore', log] })
     this._processes.set(name, { program, args, child })
   }
 
-  /** Starts a process anew under its settings, once its predecessor is gone, as the platform does with a replaced host. */
-  private async _startAgain (name: string): Promise<void> {
+  /** Starts a process again with the same settings once the previous one has exited, as the platform does for a replaced host. */
+  private async _replaceProcess (name: string): Promise<void> {
     const started = this._processes.get(name)
     if (started === undefined) return
     const until = performance.now() + STOP_TIMEOUT_MS
-    while (started.child.exitCode === null && started.child.signalCode === null && performance.now() < until) await waitFor(POLL_MS)
+    while (started.child.exitCode === null && started.child.signalCode === null && performance.now() < until) await waitFor(POLL_INTERVAL_MS)
     this._spawn(name, started.program, started.args)
   }
 
@@ -126,9 +126,9 @@
         const gates = state.facts.filter(fact => fact.value.kind === 'gate' && fact.value.ready === true)
         if (state.ready && gates.length === this._gateCount) return
       } catch {
-        // Not listening yet.
+        // The process is not listening yet.
       }
-      await waitFor(POLL_MS)
+      await waitFor(POLL_INTERVAL_MS)
     }
     throw new Error(`${address} was not ready in time`)
   }
--- a/src/load/processUsage.ts
+++ b/src/load/processUsage.ts
@@ -1,14 +1,14 @@
 /**
- * What the fleet's processes use, as they say themselves on their metrics pages.
+ * Reads the resource usage of the fleet's processes from their metrics pages.
  */
 
-/** Use of one process between two readings. */
+/** Resource usage of one process between two readings. */
 export interface ProcessUsage {
   readonly name: string
-  /** Of one core. */
+  /** Share of one core. */
   readonly processorShare: number
   readonly residentMb: number
-  /** Requests that ended at the process; 0 for stewards. */
+  /** Number of requests that the process completed; 0 for stewards. */
   readonly requests: number
 }
 
@@ -27,12 +27,12 @@
 
 const BYTES_PER_MB = 1024 * 1024
 
-/** The value of a metric without labels; 0 where the page has none. */
+/** Returns the value of a metric without labels, or 0 if the page does not contain it. */
 export function readMetric (page: string, name: string): number {
   return Number(new RegExp(`^pepperwood_${name} (\\S+)$`, 'm').exec(page)?.[1] ?? 0)
 }
 
-/** The sum of a metric over all its labels. */
+/** Returns the sum of a metric over all combinations of its labels. */
 function sumMetric (page: string, name: string): number {
   const rows = page.matchAll(new RegExp(`^pepperwood_${name}\\{.*\\} (\\S+)$`, 'gm'))
   return [...rows].reduce((sum, row) => sum + Number(row[1]), 0)
@@ -42,7 +42,7 @@
   return await (await fetch(`http://${address}/metrics`, { signal: AbortSignal.timeout(2000) })).text()
 }
 
-/** Processes that do not answer are left out. */
+/** Processes that do not respond are omitted. */
 export async function readUsage (processes: readonly MeasuredProcess[]): Promise<readonly UsageReading[]> {
   const readings = await Promise.all(processes.map(async item => {
     try {
@@ -55,29 +55,29 @@
   return readings.flat()
 }
 
-/** A process that was started anew between the readings is left out. */
-export function compareReadings (before: readonly UsageReading[], after: readonly UsageReading[]): readonly ProcessUsage[] {
+/** Processes that restarted between the readings are omitted, since their counters were reset. */
+export function computeUsage (before: readonly UsageReading[], after: readonly UsageReading[]): readonly ProcessUsage[] {
   return after.flatMap(reading => {
-    const first = before.find(item => item.name === reading.name)
-    if (first === undefined || first.processorSeconds > reading.processorSeconds) return []
-    const seconds = (reading.at - first.at) / 1000
-    return [{ name: reading.name, processorShare: (reading.processorSeconds - first.processorSeconds) / seconds, residentMb: reading.residentBytes / BYTES_PER_MB, requests: reading.requests - first.requests }]
+    const previous = before.find(item => item.name === reading.name)
+    if (previous === undefined || previous.processorSeconds > reading.processorSeconds) return []
+    const seconds = (reading.at - previous.at) / 1000
+    return [{ name: reading.name, processorShare: (reading.processorSeconds - previous.processorSeconds) / seconds, residentMb: reading.residentBytes / BYTES_PER_MB, requests: reading.requests - previous.requests }]
   })
 }
 
-/** How much more the busiest gate served than the mean. */
+/** Returns the requests of the busiest gate relative to the mean over all gates. */
 export function computeImbalance (usage: readonly ProcessUsage[]): number {
   const counts = usage.filter(item => item.name.startsWith('gate')).map(item => item.requests)
   const mean = counts.reduce((sum, count) => sum + count, 0) / Math.max(1, counts.length)
   return mean === 0 ? 1 : Math.max(...counts) / mean
 }
 
-/** One line for the processes whose names begin alike: mean and highest. */
+/** Formats one line with the mean and highest usage of the processes whose name starts with the prefix. */
 export function formatUsage (usage: readonly ProcessUsage[], prefix: string): string {
-  const chosen = usage.filter(item => item.name.startsWith(prefix))
-  if (chosen.length === 0) return `${prefix}: no figures`
-  const mean = chosen.reduce((sum, item) => sum + item.processorShare, 0) / chosen.length
-  const highest = Math.max(...chosen.map(item => item.processorShare))
-  const memory = Math.max(...chosen.map(item => item.residentMb))
+  const matching = usage.filter(item => item.name.startsWith(prefix))
+  if (matching.length === 0) return `${prefix}: no figures`
+  const mean = matching.reduce((sum, item) => sum + item.processorShare, 0) / matching.length
+  const highest = Math.max(...matching.map(item => item.processorShare))
+  const memory = Math.max(...matching.map(item => item.residentMb))
   return `${prefix}: processor mean ${(mean * 100).toFixed(1)}% highest ${(highest * 100).toFixed(1)}% of a core, resident highest ${memory.toFixed(0)} MB`
 }
--- a/src/load/relay.ts
+++ b/src/load/relay.ts
@@ -1,6 +1,6 @@
 /**
- * TCP relays that stand before the processes of a fleet: they know the hall a connection comes from by its IP number,
- * add the round trip between halls, and cut halls off from each other.
+ * TCP relays in front of the processes of a fleet. They determine the hall of a connection from its source IP address, add
+ * the round-trip time between halls, and simulate network partitions between halls.
  */
 import { createServer, connect } from 'node:net'
 import type { Socket } from 'node:net'
@@ -10,20 +10,20 @@
 
 export interface RelaySetOptions {
   readonly relays: readonly RelayPlan[]
-  /** From IP number to hall; connections from other numbers come from callers. */
+  /** Hall by IP address. Connections from other addresses are regarded as coming from callers. */
   readonly halls: ReadonlyMap<string, string>
   readonly hallRttMs: number
   readonly clientRttMs: number
 }
 
-/** Timers do not keep shorter delays. */
+/** Shorter delays are below the resolution of timers and are not simulated. */
 const MIN_DELAY_MS = 1
 const CALLERS = 'callers'
 
 export class RelaySet extends Disposable {
   private readonly _options: RelaySetOptions
-  private readonly _cutHalls = new Set<string>()
-  private readonly _pairs = new Set<RelayedPair>()
+  private readonly _disconnectedHalls = new Set<string>()
+  private readonly _connections = new Set<RelayedConnection>()
 
   constructor (options: RelaySetOptions) {
     super()
@@ -34,20 +34,20 @@
     await Promise.all(this._options.relays.map(relay => this._listen(relay)))
   }
 
-  /** Cuts a hall off from all others; callers still reach it. */
-  cut (hall: string): void {
-    this._cutHalls.add(hall)
-    for (const pair of this._pairs) pair.update(this._isCut(pair.from, pair.to))
+  /** Partitions a hall from all other halls. Callers can still reach it. */
+  disconnect (hall: string): void {
+    this._disconnectedHalls.add(hall)
+    for (const connection of this._connections) connection.setBlocked(this._isBlocked(connection.sourceHall, connection.targetHall))
   }
 
-  heal (hall: string): void {
-    this._cutHalls.delete(hall)
-    for (const pair of this._pairs) pair.update(this._isCut(pair.from, pair.to))
+  reconnect (hall: string): void {
+    this._disconnectedHalls.delete(hall)
+    for (const connection of this._connections) connection.setBlocked(this._isBlocked(connection.sourceHall, connection.targetHall))
   }
 
-  private _isCut (from: string, to: string): boolean {
-    if (from === to || from === CALLERS) return false
-    return this._cutHalls.has(from) || this._cutHalls.has(to)
+  private _isBlocked (sourceHall: string, targetHall: string): boolean {
+    if (sourceHall === targetHall || sourceHall === CALLERS) return false
+    return this._disconnectedHalls.has(sourceHall) || this._disconnectedHalls.has(targetHall)
   }
 
   private _listen (relay: RelayPlan): Promise<void> {
@@ -61,45 +61,45 @@
   }
 
   private _accept (relay: RelayPlan, socket: Socket): void {
-    const from = this._options.halls.get(socket.remoteAddress ?? '') ?? CALLERS
-    // A connection that would cross a cut is refused; one that was open before stalls until the cut heals.
-    if (this._isCut(from, relay.hall)) {
+    const sourceHall = this._options.halls.get(socket.remoteAddress ?? '') ?? CALLERS
+    // A new connection across a partition is reset. A connection that was open before stalls until the hall is reconnected.
+    if (this._isBlocked(sourceHall, relay.hall)) {
       socket.resetAndDestroy()
       return
     }
-    const rttMs = from === CALLERS ? this._options.clientRttMs : from === relay.hall ? 0 : this._options.hallRttMs
+    const rttMs = sourceHall === CALLERS ? this._options.clientRttMs : sourceHall === relay.hall ? 0 : this._options.hallRttMs
     const target = parseAddress(relay.target)
-    const pair = this._register(new RelayedPair(from, relay.hall, socket, connect({ host: target?.host, port: target?.port ?? 0 }), rttMs / 2))
-    this._pairs.add(pair)
+    const connection = this._register(new RelayedConnection(sourceHall, relay.hall, socket, connect({ host: target?.host, port: target?.port ?? 0 }), rttMs / 2))
+    this._connections.add(connection)
     socket.once('close', () => {
-      this._pairs.delete(pair)
-      this._release(pair)
+      this._connections.delete(connection)
+      this._release(connection)
     })
   }
 }
 
-class RelayedPair {
-  constructor (readonly from: string, readonly to: string, private readonly _near: Socket, private readonly _far: Socket, delayMs: number) {
-    for (const socket of [_near, _far]) {
+class RelayedConnection {
+  constructor (readonly sourceHall: string, readonly targetHall: string, private readonly _clientSocket: Socket, private readonly _targetSocket: Socket, delayMs: number) {
+    for (const socket of [_clientSocket, _targetSocket]) {
       socket.setNoDelay(true)
       socket.on('error', () => this.dispose())
       socket.on('close', () => this.dispose())
     }
-    forward(_near, _far, delayMs)
-    forward(_far, _near, delayMs)
+    forward(_clientSocket, _targetSocket, delayMs)
+    forward(_targetSocket, _clientSocket, delayMs)
   }
 
-  /** Stalls the connection while it crosses a cut. */
-  update (isCut: boolean): void {
-    for (const socket of [this._near, this._far]) {
-      if (isCut) socket.pause()
+  /** Pauses the connection while its halls are partitioned from each other. */
+  setBlocked (isBlocked: boolean): void {
+    for (const socket of [this._clientSocket, this._targetSocket]) {
+      if (isBlocked) socket.pause()
       else socket.resume()
     }
   }
 
   dispose (): void {
-    this._near.destroy()
-    this._far.destroy()
+    this._clientSocket.destroy()
+    this._targetSocket.destroy()
   }
 }
 
--- a/src/load/relayCommand.ts
+++ b/src/load/relayCommand.ts
@@ -1,5 +1,6 @@
 /**
- * `pepperwood-load relay`: the relays of a fleet as a process of their own. Cuts come as lines on stdin.
+ * `pepperwood-load relay`: runs the relays of a fleet in a separate process. The lines `cut HALL` and `heal HALL` on stdin
+ * partition a hall and reconnect it.
  */
 import { readFileSync } from 'node:fs'
 import { createInterface } from 'node:readline'
@@ -7,7 +8,7 @@
 import type { RelayPlan } from './fleetPlan.ts'
 import { RelaySet } from './relay.ts'
 
-/** What the relay process is given, as JSON. */
+/** Content of the JSON file that the relay process reads. */
 export interface RelayFile {
   readonly relays: readonly RelayPlan[]
   readonly halls: readonly (readonly [string, string])[]
@@ -26,8 +27,8 @@
     const lines = createInterface({ input: process.stdin })
     lines.on('line', line => {
       const [action, hall = ''] = line.split(' ')
-      if (action === 'cut') relays.cut(hall)
-      else if (action === 'heal') relays.heal(hall)
+      if (action === 'cut') relays.disconnect(hall)
+      else if (action === 'heal') relays.reconnect(hall)
     })
     lines.on('close', () => process.exit(0))
   }
--- a/src/load/runCommand.ts
+++ b/src/load/runCommand.ts
@@ -1,5 +1,5 @@
 /**
- * `pepperwood-load run`: one run of a profile, with or without a scenario.
+ * `pepperwood-load run`: runs a profile once, with or without a scenario.
  */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
@@ -30,7 +30,7 @@
   return loadSettings(file, ScenarioSchema).ifLeft(error => exitWith(error, exitCodes.usage)).unsafeCoerce()
 }
 
-/** Reads `router = "round-robin"` and the like, over the profile's policy. */
+/** Parses settings such as `router = "round-robin"`, separated by semicolons, that override the profile's policy. */
 export function parsePolicy (text: string | undefined, profile: LoadProfile): PolicySettings {
   if (text === undefined) return profile.policy
   return checkSettings('--policy', { ...profile.policy, ...parse(text.replaceAll(';', '\n')) }, PolicySettingsSchema)
@@ -38,7 +38,7 @@
     .unsafeCoerce()
 }
 
-/** A second number of loopback addresses that other fleets of this machine are unlikely to use. */
+/** Chooses the second octet of the loopback addresses by process id, so that concurrent fleets are unlikely to share it. */
 export function chooseNetwork (): number {
   return 1 + process.pid % NETWORKS
 }
@@ -48,8 +48,8 @@
   args: {
     profile: { type: 'string', required: true, description: 'The profile (TOML)', valueHint: 'FILE' },
     faults: { type: 'string', description: 'The scenario: load shape and faults (TOML)', valueHint: 'FILE' },
-    policy: { type: 'string', description: 'Policy settings over the profile\'s, such as: router="round-robin"; admission="none"' },
-    seed: { type: 'string', default: '1', description: 'Of arrivals and faults' },
+    policy: { type: 'string', description: 'Policy settings that override the profile\'s, such as: router="round-robin"; admission="none"' },
+    seed: { type: 'string', default: '1', description: 'Seed of arrivals and faults' },
     out: { type: 'string', default: 'out/run', description: 'Directory for the report, settings and logs', valueHint: 'DIR' },
     json: { type: 'boolean', default: false, description: 'Print the report as JSON' }
   },
--- a/src/load/scenario.ts
+++ b/src/load/scenario.ts
@@ -1,5 +1,5 @@
 /**
- * A scenario: the shape of the load and what goes wrong when, as read from TOML.
+ * Schema of a scenario: the shape of the load and the faults to inject at given times, read from a TOML file.
  */
 import { Schema } from 'effect'
 import { PositiveMs } from '../services/settings/node/settingsFile.ts'
@@ -12,11 +12,12 @@
 const StepSchema = Schema.Struct({
   at_ms: Ms,
   /**
-   * `kill`, `stop`, `continue`, `terminate` and `start` act on processes (`gate-0`, `steward-2`);
-   * `faults` on upstreams; `platform` on the platform; `cut` and `heal` on pairs of halls; `publish` raises the version.
+   * `kill`, `stop`, `continue`, `terminate` and `start` send a signal to a process (`gate-0`, `steward-2`) or start it again;
+   * `faults` acts on upstreams and `platform` on the platform; `cut` partitions a hall from the others and `heal` reconnects
+   * it; `publish` publishes the configuration with the next version.
    */
   action: Schema.Literal('kill', 'stop', 'continue', 'terminate', 'start', 'faults', 'platform', 'cut', 'heal', 'publish'),
-  /** A process, an upstream or names that begin alike (`generate-*`), or a hall. */
+  /** A process, an upstream, a prefix of upstream names (`generate-*`) or a hall. */
   target: Schema.optionalWith(Schema.String, { default: () => '' }),
   faults: Schema.optionalWith(Schema.Record({ key: Schema.String, value: Schema.Union(Schema.Number, Schema.Boolean) }), { default: () => ({}) })
 })
@@ -24,14 +25,14 @@
 export const ScenarioSchema = Schema.Struct({
   name: Schema.NonEmptyString,
   seconds: Schema.optionalWith(Positive, { default: () => 10 }),
-  /** Part of the profile's nominal rate. */
+  /** Share of the profile's nominal rate. */
   rate: Schema.optionalWith(Positive, { default: () => 0.6 }),
   burst_factor: Schema.optionalWith(Positive, { default: () => 1 }),
   burst_from_ms: Schema.optionalWith(Ms, { default: () => 0 }),
   burst_to_ms: Schema.optionalWith(Ms, { default: () => 0 }),
   flood_customer: Schema.optionalWith(Schema.String, { default: () => '' }),
   flood_factor: Schema.optionalWith(Positive, { default: () => 1 }),
-  /** Puts relays before all addresses, which cuts between halls need. */
+  /** Routes all connections through relays, which `cut` and `heal` require. */
   relays: Schema.optionalWith(Schema.Boolean, { default: () => false }),
   warmup_ms: Schema.optionalWith(PositiveMs, { default: () => 1500 }),
   steps: Schema.optionalWith(Schema.Array(StepSchema), { default: () => [] })
--- a/src/load/standinControl.ts
+++ b/src/load/standinControl.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what a stand-in counted, and switches its faults.
+ * Reads the counters of stand-ins and sets their faults over their control servers.
  */
 import { request } from 'node:http'
 import type { RunRecord } from '../standin/runLedger.ts'
@@ -15,9 +15,9 @@
   readonly upstreams: readonly { readonly name: string, readonly role: string, readonly kind: string, readonly busyMs: number, readonly callsAfterLeaving: number, readonly prefix: PrefixCounts }[]
 }
 
-/** Calls the control servers of a fleet's stand-ins as if they were one. */
+/** Combines the control servers of all stand-in processes of a fleet. */
 export class StandinControl {
-  /** The first address is the platform's. */
+  /** The first address also serves the platform. */
   constructor (private readonly _addresses: readonly string[]) {}
 
   async readRuns (): Promise<readonly RunRecord[]> {
@@ -25,7 +25,7 @@
     return answers.flatMap(answer => answer.runs)
   }
 
-  /** Calls that the platform has answered so far. */
+  /** Number of calls that the platform has answered since its start. */
   async readPlatformCalls (): Promise<number> {
     return (await this._call<StandinState>(this._addresses[0] ?? '', 'GET', '/v1/state')).platformCalls
   }
@@ -37,13 +37,13 @@
     return busy
   }
 
-  /** Over all engines since they were started. */
+  /** Sums the counts of all engines since their start. */
   async readPrefixCounts (): Promise<PrefixCounts> {
     const upstreams = await this._readUpstreams()
     return upstreams.reduce((sum, { prefix }) => ({ starts: sum.starts + prefix.starts, hits: sum.hits + prefix.hits }), { starts: 0, hits: 0 })
   }
 
-  /** Calls sent to upstreams more than two seconds after they had said that they were leaving. */
+  /** Number of calls sent to upstreams more than two seconds after they announced that they were leaving. */
   async readCallsAfterLeaving (): Promise<number> {
     return (await this._readUpstreams()).reduce((sum, upstream) => sum + upstream.callsAfterLeaving, 0)
   }
@@ -52,7 +52,7 @@
     await this._call(this._addresses[0] ?? '', 'PUT', '/v1/faults/platform', faults)
   }
 
-  /** Switches the faults of all upstreams whose name is given, or starts with it where it ends in `*`. */
+  /** Sets the faults of the upstream with the given name, or of all whose names start with the pattern if it ends in `*`. */
   async setFaults (pattern: string, faults: object): Promise<void> {
     await Promise.all(this._addresses.map(address => this._call(address, 'PUT', `/v1/faults/${pattern}`, faults)))
   }
@@ -66,14 +66,14 @@
     return states.flatMap(state => state.upstreams)
   }
 
-  private _call<T> (at: string, method: string, path: string, body?: unknown): Promise<T> {
-    const address = parseAddress(at)
+  private _call<T> (addressText: string, method: string, path: string, body?: unknown): Promise<T> {
+    const address = parseAddress(addressText)
     return new Promise((resolve, reject) => {
       const call = request({ host: address?.host, port: address?.port, method, path, agent: false }, response => {
-        const parts: Buffer[] = []
-        response.on('data', (part: Buffer) => parts.push(part))
+        const chunks: Buffer[] = []
+        response.on('data', (part: Buffer) => chunks.push(part))
         response.on('end', () => {
-          const text = Buffer.concat(parts).toString('utf8')
+          const text = Buffer.concat(chunks).toString('utf8')
           if (response.statusCode === 200) resolve(JSON.parse(text) as T)
           else reject(new Error(`the stand-in answered ${response.statusCode}: ${text}`))
         })
--- a/src/load/test/fleet.test.ts
+++ b/src/load/test/fleet.test.ts
@@ -1,5 +1,5 @@
 /**
- * The whole path over real sockets: gates, stewards and stand-ins in this process.
+ * Tests the whole request path over loopback sockets, with gates, stewards and stand-ins in this process.
  */
 import { connect } from 'node:net'
 import { suite } from 'uvu'
@@ -23,8 +23,8 @@
 const fleet = new InProcessFleet(plan)
 const addresses = plan.hosts.map(host => host.gate.address)
 const [first = '', second = '', third = ''] = addresses
-/** More than a gate waits for a silent steward. */
-const SILENCE_MS = 3500
+/** Longer than the time after which a gate regards a silent steward as lost. */
+const OBSERVATION_MS = 3500
 const CUSTOMER = 'small'
 const KEY = formatCustomerKey(CUSTOMER)
 
@@ -68,7 +68,7 @@
   return (await fleet.control.readRuns()).filter(run => run.marker === marker && run.role === role).length
 }
 
-/** Requests that run at a gate as their home. */
+/** Counts the running requests whose home is the gate. */
 async function countRunning (address: string): Promise<number> {
   const { sessions } = JSON.parse((await createOperatorClient(address).dump({})).json) as { readonly sessions: readonly { readonly running: number }[] }
   return sessions.reduce((sum, session) => sum + session.running, 0)
@@ -88,7 +88,7 @@
   return await Promise.all(addresses.map(async address => (await createOperatorClient(address).getConfiguration({})).configuration?.version ?? 0))
 }
 
-test('a request goes through all stages and its answer is the request\'s own', async () => {
+test('a request passes through all stages and receives its own answer', async () => {
   const caller = createCaller()
   const input = 'one id=a1 tokens=12'
   const answer = (await caller.submit({ pipeline: 'script', input, deadlineMs: 4000 })).unsafeCoerce()
@@ -103,7 +103,7 @@
   ['a wrong key', 'wrong', 'script', 'keyWrong'],
   ['an unknown pipeline', KEY, 'nonsense', 'pipelineUnknown']
 ] as const) {
-  test(`${name}: refused by code, and nothing ran`, async () => {
+  test(`${name}: the request is refused by code, and no stage runs`, async () => {
     const caller = createCaller(addresses, key)
     const error = (await caller.submit({ pipeline, input: 'id=a2', deadlineMs: 2000 })).swap().unsafeCoerce()
     assert.equal([error.resultName, error.execution], [expected, 'notRun'])
@@ -112,7 +112,7 @@
   })
 }
 
-test('the same number twice runs once, and both get the whole answer', async () => {
+test('a request number that is submitted twice runs once, and both submissions get the whole answer', async () => {
   const session = await openSession(first)
   const client = createRequestClient(first)
   const request = { ...createRequest(session, 1, 'id=a3', 'booking'), unrepeatable: true }
@@ -125,7 +125,7 @@
   assert.is(reused?.name, 'numberReused')
 })
 
-test('an answer can be fetched again from a chunk on', async () => {
+test('an answer can be fetched again from a given chunk', async () => {
   const session = await openSession(first)
   const client = createRequestClient(first)
   const whole = await readAll(client.submit(createRequest(session, 1, 'id=a4 tokens=10')))
@@ -134,7 +134,7 @@
   assert.ok(joinText(whole).endsWith(joinText(rest)))
 })
 
-test('another gate does not run a session\'s request', async () => {
+test('a gate that is not the session\'s home does not run its request', async () => {
   const session = await openSession(first)
   const refusal = findRefusal(await readAll(createRequestClient(second).submit(createRequest(session, 1, 'id=a5'))))
   assert.is(refusal?.name, 'sessionElsewhere')
@@ -142,7 +142,7 @@
   assert.is(await countRuns('a5', 'encode'), 0)
 })
 
-test('a cancelled request ends at once, as one that may have run', async () => {
+test('a cancelled request ends at once, and is reported as incomplete', async () => {
   const session = await openSession(first)
   const client = createRequestClient(first)
   const stream = readAll(client.submit(createRequest(session, 1, 'id=a6 tokens=400')))
@@ -153,7 +153,7 @@
   assert.equal([refusal?.name, refusal?.execution], ['cancelled', Execution.INCOMPLETE])
 })
 
-test('a checkpoint goes on at another gate from the last finished stage', async () => {
+test('a checkpoint resumes at another gate after the last finished stage', async () => {
   const session = await openSession(first)
   const events = await readAll(createRequestClient(first).submit(createRequest(session, 1, 'id=a7')))
   const checkpoint = events.flatMap(({ event }) => event.case === 'checkpoint' ? [event.value] : []).at(-1)
@@ -168,7 +168,7 @@
   assert.equal([foreign?.name, foreign?.execution], ['checkpointInvalid', Execution.NOT_RUN])
 })
 
-test('a configuration is in force at every gate, and an invalid or lower one changes nothing', async () => {
+test('a new configuration takes effect at every gate, and an invalid or older one is ignored', async () => {
   const document = JSON.parse(plan.configurationText) as object
   await fleet.control.publish('pepperwood/configuration', { ...document, version: 3 })
   await waitUntil(async () => (await readVersions()).every(version => version === 3))
@@ -184,16 +184,16 @@
   assert.ok([...seen].every(version => version === 3 || version === 4))
 })
 
-test('a caller that has seen a higher configuration is not served under a lower one', async () => {
+test('a caller that has seen a newer configuration is not served under an older one', async () => {
   const answer = await createRequestClient(third).openSession({ customer: CUSTOMER, key: KEY, seenConfiguration: { epoch: 1, version: 99 } })
   assert.is(answer.outcome.case === 'refusal' && answer.outcome.value.name, 'configurationBehind')
 })
 
-test('a leaving upstream gets no new work once all gates know', async () => {
+test('a leaving upstream gets no new work once all gates have been notified', async () => {
   const name = 'generate-0'
   await fleet.control.setFaults(name, { leaving_quietly: true })
-  const hasHeard = async (address: string) => (await createOperatorClient(address).dump({})).json.includes(`leaving/${name}`)
-  await waitUntil(async () => (await Promise.all(addresses.map(hasHeard))).every(Boolean))
+  const isNotified = async (address: string) => (await createOperatorClient(address).dump({})).json.includes(`leaving/${name}`)
+  await waitUntil(async () => (await Promise.all(addresses.map(isNotified))).every(Boolean))
   await fleet.control.setFaults(name, {})
   const caller = createCaller()
   const answers = await Promise.all(Array.from({ length: 12 }, (_, index) => caller.submit({ pipeline: 'script', input: `id=b${index} tokens=4`, deadlineMs: 4000 })))
@@ -208,7 +208,7 @@
   ['answers for another attempt', { wrong_id: 1 }, true],
   ['refusals without running', { refuse: 1 }, false]
 ] as const) {
-  test(`${name}: refused, and run at most once`, async () => {
+  test(`${name}: the request is refused, and runs at most once`, async () => {
     const marker = `f${name.length}`
     await fleet.control.setFaults('booking-*', faults)
     const caller = createCaller()
@@ -220,7 +220,7 @@
   })
 }
 
-test('a stream that breaks after some bytes is resumed, and its answer is whole', async () => {
+test('a stream that breaks after some bytes is resumed, and the answer is complete', async () => {
   await fleet.control.setFaults('generate-*', { drop: 1, drop_after_bytes: 400 })
   const caller = createCaller()
   const input = 'id=g1 tokens=30'
@@ -232,7 +232,7 @@
   caller.dispose()
 })
 
-test('what is no request changes nothing', async () => {
+test('malformed input is rejected and does not affect later requests', async () => {
   const steward = plan.hosts[0]?.steward.address.split(':') ?? []
   for (const [host, port] of [steward, first.split(':')]) {
     await new Promise<void>(resolve => {
@@ -250,7 +250,7 @@
   assert.is(located.gates.length, 3)
 })
 
-test('explain tells what was decided about a request', async () => {
+test('explain lists the decisions about a request', async () => {
   const session = await openSession(first)
   await readAll(createRequestClient(first).submit(createRequest(session, 1, 'id=c1')))
   const { decisions } = await createOperatorClient(first).explain({ requestId: `${session.id}/1` })
@@ -258,7 +258,7 @@
   assert.is((await createOperatorClient(first).explain({ requestId: 'none/1' })).problem?.name, 'requestUnknown')
 })
 
-test('a steward that starts while the platform serves an older configuration takes the newer configuration from its peers', async () => {
+test('a steward that starts while the platform serves an older configuration adopts the newer one from its peers', async () => {
   const document = JSON.parse(plan.configurationText) as object
   await fleet.control.publish('pepperwood/configuration', { ...document, version: 6 })
   await waitUntil(async () => (await readVersions()).every(version => version === 6))
@@ -278,13 +278,13 @@
   await started.stop()
 })
 
-test('no gate has lost its steward, however little news there was', async () => {
+test('a gate keeps its link to the steward while there are no updates', async () => {
   const startedAtMs = (await readState(first)).ageMs
-  await waitUntil(async () => (await readState(first)).ageMs > startedAtMs + SILENCE_MS)
+  await waitUntil(async () => (await readState(first)).ageMs > startedAtMs + OBSERVATION_MS)
   for (const address of addresses) assert.is((await readState(address)).stewardLinks, 1)
 })
 
-test('a gate whose steward dies goes to another, and new configurations still reach it', async () => {
+test('a gate whose steward fails links to another one and still receives new configurations', async () => {
   const { steward } = await readState(first)
   fleet.stewards[plan.hosts.findIndex(host => host.steward.address === steward)]?.dispose()
   await waitUntil(async () => (await readState(first)).stewardLinks === 2)
@@ -292,7 +292,7 @@
   await waitUntil(async () => (await readVersions()).every(version => version === 7))
 })
 
-test('a session that was told a pipeline is repeatable runs nothing of it once it is not', async () => {
+test('a session that was opened while a pipeline was repeatable is refused once it no longer is', async () => {
   const session = await openSession(first)
   assert.equal(session.repeatablePipelines, ['script'])
   const document = JSON.parse(plan.configurationText) as { readonly upstreams: readonly { readonly role: string }[] }
@@ -306,7 +306,7 @@
   await waitUntil(async () => (await readVersions()).every(version => version === 9))
 })
 
-test('a planned stop finishes what is in progress and sends new callers elsewhere', async () => {
+test('a draining gate completes requests in progress and redirects new callers', async () => {
   const session = await openSession(third)
   const client = createRequestClient(third)
   const stream = readAll(client.submit(createRequest(session, 1, 'id=d1 tokens=60')))
@@ -323,10 +323,10 @@
   caller.dispose()
 })
 
-test('a stage that must run once is not run again elsewhere when its gate dies, marked request or not', async () => {
+test('an unrepeatable stage is not run again at another gate when its gate fails, even if the request is not marked unrepeatable', async () => {
   await fleet.control.setFaults('booking-*', { hang: 1 })
   const caller = createCaller([second])
-  // The steps before the gate dies take seconds where processors are short; the deadline is not what is tested.
+  // The steps before the gate fails can take seconds on a busy machine. The long deadline keeps them out of the test.
   const submitted = caller.submit({ pipeline: 'booking', input: 'id=e1', deadlineMs: 15_000 })
   await waitUntil(async () => await countRuns('e1', 'booking') === 1)
   const running = await Promise.all([first, second].map(async address => await countRunning(address)))
