--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -282,7 +282,7 @@
   }
 
   /** Returns the number of gates that this one would recommend now. */
-  countGates (): number {
+  countUsableGates (): number {
     return this._listGateViews().filter(isUsableGate).length
   }
 
--- a/src/load/inProcessFleet.ts
+++ b/src/load/inProcessFleet.ts
@@ -37,7 +37,7 @@
     await Promise.all([...this.stewards, ...this.gates].map(program => program.start()))
     while (!this.gates.every(gate => gate.isReady)) await waitFor(20)
     // Gates learn of each other through their stewards, which can take longer than becoming ready.
-    while (!this.gates.every(gate => gate.countGates() === this.gates.length)) await waitFor(20)
+    while (!this.gates.every(gate => gate.countUsableGates() === this.gates.length)) await waitFor(20)
   }
 
   dispose (): void {
