--- a/src/load/fleetPlan.ts
+++ b/src/load/fleetPlan.ts
@@ -9,7 +9,7 @@
 import type { GateSettings, PolicySettings } from '../gate/gateSettings.ts'
 import { StewardSettingsSchema } from '../steward/stewardSettings.ts'
 import type { StewardSettings } from '../steward/stewardSettings.ts'
-import type { StandinSettings, StandinUpstream } from '../standin/standinSettings.ts'
+import type { StandinSettings, StandinUpstreamSettings } from '../standin/standinSettings.ts'
 import type { LoadProfile } from './loadProfile.ts'
 
 export interface FleetPlanOptions {
@@ -101,7 +101,7 @@
   return `127.${network}.1.${1 + index}:${PORTS.platform}`
 }
 
-function planStandins (options: FleetPlanOptions, upstreams: readonly StandinUpstream[]): readonly StandinSettings[] {
+function planStandins (options: FleetPlanOptions, upstreams: readonly StandinUpstreamSettings[]): readonly StandinSettings[] {
   const count = options.standinCount ?? 1
   return Array.from({ length: count }, (_, index) => ({
     listen: formatStandinAddress(options.network, index),
@@ -155,7 +155,7 @@
 }
 
 interface PlannedUpstream {
-  readonly settings: StandinUpstream
+  readonly settings: StandinUpstreamSettings
   readonly address: string
   readonly hall: string
   readonly mayCallTwice: boolean
@@ -168,7 +168,7 @@
       const hallIndex = index % profile.halls.length
       const { address, listen } = allocateAddress(ADDRESS_BLOCKS.upstream, ADDRESS_BLOCKS.upstreamBehindRelay, hallIndex, planned.length % MAX_ADDRESSES_PER_BLOCK, PORTS.upstream + Math.floor(planned.length / MAX_ADDRESSES_PER_BLOCK))
       const { count: _count, model, may_call_twice: mayCallTwice, ...shape } = group
-      const settings: StandinUpstream = {
+      const settings: StandinUpstreamSettings = {
         ...shape,
         name: `${group.role}-${index}`,
         listen,
--- a/src/standin/batchingEngine.ts
+++ b/src/standin/batchingEngine.ts
@@ -3,7 +3,7 @@
  * takes longer the larger the batch is. Prompts whose prefix is cached skip most of their prefill.
  */
 import { computeToken, readTokenCount } from './modelAnswers.ts'
-import type { StandinUpstream } from './standinSettings.ts'
+import type { StandinUpstreamSettings } from './standinSettings.ts'
 
 export interface GenerationRequest {
   readonly attempt: string
@@ -49,7 +49,7 @@
 const DETACHED_RETENTION_MS = 3000
 
 export class BatchingEngine {
-  private readonly _settings: StandinUpstream
+  private readonly _settings: StandinUpstreamSettings
   private readonly _queue: Generation[] = []
   private readonly _running: Generation[] = []
   private readonly _byAttempt = new Map<string, Generation>()
@@ -60,7 +60,7 @@
   private _startCount = 0
   private _prefixHitCount = 0
 
-  constructor (settings: StandinUpstream) {
+  constructor (settings: StandinUpstreamSettings) {
     this._settings = settings
   }
 
--- a/src/standin/standinSettings.ts
+++ b/src/standin/standinSettings.ts
@@ -41,5 +41,5 @@
   upstreams: Schema.optionalWith(Schema.Array(StandinUpstreamSettingsSchema), { default: () => [] })
 })
 
-export type StandinUpstream = typeof StandinUpstreamSettingsSchema.Type
+export type StandinUpstreamSettings = typeof StandinUpstreamSettingsSchema.Type
 export type StandinSettings = typeof StandinSettingsSchema.Type
--- a/src/standin/standinUpstream.ts
+++ b/src/standin/standinUpstream.ts
@@ -14,7 +14,7 @@
 import { readJson, sendJson, sendTruncated } from './httpJson.ts'
 import { computeServiceOutput, readMarker } from './modelAnswers.ts'
 import type { RunLedger } from './runLedger.ts'
-import type { StandinUpstream } from './standinSettings.ts'
+import type { StandinUpstreamSettings } from './standinSettings.ts'
 
 /** The fields of a call's body that the stand-in uses. */
 interface CallBody {
@@ -43,7 +43,7 @@
 const LEAVING_GRACE_MS = 2000
 
 export class StandinUpstreamServer extends Disposable {
-  private readonly _settings: StandinUpstream
+  private readonly _settings: StandinUpstreamSettings
   private readonly _engine: BatchingEngine
   private readonly _random: IRandom
   private readonly _ledger: RunLedger
@@ -63,7 +63,7 @@
   private _snapshots: readonly LoadSnapshot[] = []
   private readonly _unreportedPrefixes = new Set<string>()
 
-  constructor (settings: StandinUpstream, random: IRandom, ledger: RunLedger) {
+  constructor (settings: StandinUpstreamSettings, random: IRandom, ledger: RunLedger) {
     super()
     this._settings = settings
     this._random = random
--- a/src/standin/test/batchingEngine.test.ts
+++ b/src/standin/test/batchingEngine.test.ts
@@ -3,10 +3,10 @@
 import { BatchingEngine } from '../batchingEngine.ts'
 import type { GenerationRequest } from '../batchingEngine.ts'
 import { computeToken } from '../modelAnswers.ts'
-import type { StandinUpstream } from '../standinSettings.ts'
+import type { StandinUpstreamSettings } from '../standinSettings.ts'
 
 const test = suite('batchingEngine')
-const settings: StandinUpstream = { name: 'e', kind: 'engine', role: 'generate', listen: '127.0.0.1:1', capacity: 4, max_queue: 2, base_ms: 1, per_sequence_ms: 0, prefill_ms: 2, cache_size: 2, models: [], checks_fencing: true, load_ms: 1, report_lag_ms: 0 }
+const settings: StandinUpstreamSettings = { name: 'e', kind: 'engine', role: 'generate', listen: '127.0.0.1:1', capacity: 4, max_queue: 2, base_ms: 1, per_sequence_ms: 0, prefill_ms: 2, cache_size: 2, models: [], checks_fencing: true, load_ms: 1, report_lag_ms: 0 }
 const request: GenerationRequest = { attempt: 'a', role: 'generate', input: 'tokens=12', previous: '', prefixKey: 'k', priority: 1, offset: 0 }
 const expected = Array.from({ length: 12 }, (_, index) => computeToken('generate', request.input, '', index))
 
