--- a/src/load/lab/labRun.ts
+++ b/src/load/lab/labRun.ts
@@ -11,7 +11,7 @@
 import type { LabDeployment, LabRequestKind } from './labDeployment.ts'
 import { scoreRun } from './labScore.ts'
 import type { LabOutcome, LabScore } from './labScore.ts'
-import { VirtualEvents } from './virtualEvents.ts'
+import { VirtualTimeScheduler } from './virtualTimeScheduler.ts'
 
 const PLANNER_INTERVAL_MS = 25
 /** Delay until a request to free results reaches the upstream. */
@@ -47,7 +47,7 @@
 }
 
 export class LabRun {
-  private readonly _scheduler = new VirtualEvents()
+  private readonly _scheduler = new VirtualTimeScheduler()
   private readonly _random: IRandom
   private readonly _upstreams: ReadonlyMap<string, LabUpstreamModel>
   private readonly _requests = new Map<string, LabRequest>()
--- a/src/load/lab/virtualEvents.ts
+++ b/src/load/lab/virtualTimeScheduler.ts
@@ -7,7 +7,7 @@
   readonly run: () => void
 }
 
-export class VirtualEvents {
+export class VirtualTimeScheduler {
   private readonly _heap: ScheduledEvent[] = []
   private _now = 0
 
--- a/src/services/preparation/test/lateWork.test.ts
+++ b/src/services/preparation/test/lateWork.test.ts
@@ -6,7 +6,7 @@
  */
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { VirtualEvents } from '../../../load/lab/virtualEvents.ts'
+import { VirtualTimeScheduler } from '../../../load/lab/virtualTimeScheduler.ts'
 import { createSuccess, createJob, createPlanner, createStage } from './fakes.ts'
 
 const test = suite('lateWork')
@@ -30,7 +30,7 @@
 
 /** Submits jobs of one piece for 15 s, at `factor` times the rate that the single upstream can compute. */
 function runOverload (factor: number): Outcome {
-  const events = new VirtualEvents()
+  const events = new VirtualTimeScheduler()
   const planner = createPlanner({ upstreams: { a: 1 } })
   const sentAt = new Map<string, number>()
   const counts = { inTime: 0, late: 0, refused: 0, refusedLater: 0 }
