--- a/src/services/backoff/node/backoffPieceCalls.ts
+++ b/src/services/backoff/node/backoffPieceCalls.ts
@@ -23,17 +23,17 @@
 
   constructor (private readonly _inner: PieceProtocol, private readonly _backoffs: IBackoffService, private readonly _clock: IClock) {
     super()
-    _inner.onDidReceiveStatement(stated => this._onDidReceiveStatement.fire(stated))
+    _inner.onDidReceiveStatement(batch => this._onDidReceiveStatement.fire(batch))
   }
 
-  async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallOptions): Promise<PieceCallOutcome> {
+  async runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], options: PieceCallOptions): Promise<PieceCallOutcome> {
     const waitMs = this._backoffs.getWaitMs(upstream.id)
     if (waitMs > 0) return { kind: 'notRun', reason: 'backingOff', retryInMs: waitMs }
     let sentAt: number | undefined
     const outcome = await this._inner.runPieces(upstream, pieces, {
-      ...terms,
+      ...options,
       onWillSend: () => {
-        if (terms.onWillSend?.() === false) return false
+        if (options.onWillSend?.() === false) return false
         sentAt = this._clock.now()
         return true
       }
--- a/src/services/pause/common/pauseDetector.ts
+++ b/src/services/pause/common/pauseDetector.ts
@@ -60,7 +60,7 @@
 
   /**
    * By how many ms the wall time jumped ahead of the monotonic clock, until the jump is cleared; 0 if it did not. Either the
-   * machine was suspended for that long, or somebody set the time of day.
+   * machine was suspended for that long, or the time of day was set.
    */
   get timeOfDayJumpMs (): number {
     return this._timeOfDayJumpMs
--- a/src/services/preparation/common/batchPlanner.ts
+++ b/src/services/preparation/common/batchPlanner.ts
@@ -30,7 +30,7 @@
         const pieces = listReadyPieces(state, stage, spec.resultBytes)
         const requiredBytes = pieces.length * spec.resultBytes
         const remainingBytes = freeBytes.get(spec.role) ?? 0
-        // A started stage occupies room that is freed only once it is complete, so it goes first, even without room for all of it.
+        // A started stage uses result capacity until it is complete, so it goes first, even if not all of it fits.
         const group = state.hasStarted(stage) ? startedStages : newStages
         if (group === newStages && requiredBytes > remainingBytes) continue
         freeBytes.set(spec.role, remainingBytes - requiredBytes)
@@ -62,7 +62,7 @@
   /** Whether a piece has waited long enough for its preferred hall, or would miss its goal by waiting. */
   private _canUseOtherHall (piece: ReadyPiece, now: number): boolean {
     const { state } = piece
-    const slackMs = state.goalAt - now - this._jobOrder.estimateRemaining(state, now)
+    const slackMs = state.goalAt - now - this._jobOrder.estimateRemainingMs(state, now)
     return now - state.getReadyAt(piece.stage, now) >= Math.min(MAX_HALL_WAIT_MS, Math.max(0, slackMs))
   }
 }
--- a/src/services/preparation/common/coordinatorChoice.ts
+++ b/src/services/preparation/common/coordinatorChoice.ts
@@ -42,8 +42,8 @@
 
 /**
  * Chooses a node on the host with the highest weight, and of these the one that has run for longest. A node that returns
- * after a restart thus does not take jobs over from its replacement: two coordinators do not see how much room each other's
- * results occupy at the upstreams. For the plan of a hall, nodes of that hall are preferred.
+ * after a restart thus does not take jobs over from its replacement: two coordinators do not see how much result
+ * capacity each other's jobs use at the upstreams. For the plan of a hall, nodes of that hall are preferred.
  */
 export function chooseCoordinator (candidates: readonly CoordinatorCandidate[], hall = ''): string | undefined {
   const near = candidates.filter(candidate => candidate.hall === hall)
--- a/src/services/preparation/common/hallLoads.ts
+++ b/src/services/preparation/common/hallLoads.ts
@@ -16,18 +16,18 @@
   ) {}
 
   /** Estimates, by hall, how long the stages of a job with the given placement would be queued. */
-  computeWaits (state: JobState, placement: StagePlacement, now: number): ReadonlyMap<string, number> {
+  computeWaitsMs (state: JobState, placement: StagePlacement, now: number): ReadonlyMap<string, number> {
     const roles = new Set(state.job.stages.flatMap((stage, index) => state.placements[index] === placement ? [stage.role] : []))
-    const waits = new Map<string, number>()
+    const waitsMs = new Map<string, number>()
     for (const role of roles) {
       const work = this._workSpecs.get(role)
       if (work === undefined) continue
       for (const [hall, calls] of this._countCalls(role, now)) {
         const waitMs = this._countOpenPieces(role, hall) * computePieceCost(work) / calls
-        waits.set(hall, Math.max(waits.get(hall) ?? 0, waitMs))
+        waitsMs.set(hall, Math.max(waitsMs.get(hall) ?? 0, waitMs))
       }
     }
-    return waits
+    return waitsMs
   }
 
   private _countCalls (role: string, now: number): ReadonlyMap<string, number> {
@@ -54,11 +54,11 @@
   /** Returns the hall with the shortest queueing time for the job's chain, penalizing halls that lack a role; ties go to the target's hall. */
   chooseChainHall (state: JobState, now: number): string {
     const roles = new Set(state.job.stages.flatMap((stage, index) => state.placements[index] === 'chain' ? [stage.role] : []))
-    const waits = this.computeWaits(state, 'chain', now)
+    const waitsMs = this.computeWaitsMs(state, 'chain', now)
     const hasAllRoles = (hall: string) => [...roles].every(role => this._countCalls(role, now).has(hall))
     let best = ''
     let bestMs = Infinity
-    for (const [hall, waitMs] of waits) {
+    for (const [hall, waitMs] of waitsMs) {
       const scoreMs = waitMs + (hasAllRoles(hall) ? 0 : MISSING_ROLE_PENALTY_MS) + (hall === state.targetHall ? 0 : 1)
       if (scoreMs >= bestMs) continue
       best = hall
--- a/src/services/preparation/common/jobForecast.ts
+++ b/src/services/preparation/common/jobForecast.ts
@@ -1,5 +1,5 @@
 /**
- * Forecasts when each job completes, given the work queued before it, to tell jobs that meet their goal from those that
+ * Forecasts when each job completes, given the work queued before it, to distinguish jobs that meet their goal from those that
  * miss it and from those that would exceed their deadline.
  */
 import type { JobState } from './jobState.ts'
@@ -10,7 +10,7 @@
   readonly work: PieceWorkSpec
   /** Concurrent calls of all usable upstreams; slow upstreams count in proportion to their speed. */
   readonly calls: number
-  /** Time until the first upstream ends the backoff that it asked for; 0 if one did not ask, Infinity if none accepts calls. */
+  /** Time until the first upstream ends the backoff that it requested; 0 if one requested none, Infinity if none accepts calls. */
   readonly backoffMs: number
   /** Throughput in pieces per millisecond while there is a backlog. */
   readonly piecesPerMs: number
@@ -23,7 +23,7 @@
   readonly state: JobState
   readonly remainingMs: number
   /** How much later the goal is assumed to be in scheduling once the job misses it. */
-  readonly lateMs: number
+  readonly latenessPenaltyMs: number
 }
 
 export interface JobForecast {
@@ -84,7 +84,7 @@
   return { reason: 'overloaded', retryAfterMs: computeRetryAfterMs(forecast, latestEndAt) }
 }
 
-/** Returns when a role without usable upstreams may have one again. */
+/** Returns the delay after which a role without usable upstreams may have one again. */
 function computeNoUpstreamRetryMs (capacity: RoleCapacity | undefined): number {
   const backoffMs = capacity?.backoffMs ?? Infinity
   return Number.isFinite(backoffMs) ? Math.max(NO_UPSTREAM_RETRY_MS, backoffMs) : NO_UPSTREAM_RETRY_MS
@@ -123,11 +123,11 @@
  * Jobs that arrive later also go before a late job, but only until the late job has waited long enough to be ahead of new
  * ones. A late job of a more urgent rank reaches that point sooner.
  */
-function computeLateWaitMs ({ piecesPerMs, arrivalsPerMs }: RoleCapacity, pieces: number, { state: { job, goalAt }, lateMs }: ForecastEntry, now: number): number {
+function computeLateWaitMs ({ piecesPerMs, arrivalsPerMs }: RoleCapacity, pieces: number, { state: { job, goalAt }, latenessPenaltyMs }: ForecastEntry, now: number): number {
   let arrivalsAheadPerMs = 0
   let arrivingPieces = 0
   for (const [rank, perMs] of arrivalsPerMs) {
-    const aheadForMs = lateMs + (job.rank - rank) * RANK_STEP_MS - Math.max(0, now - goalAt)
+    const aheadForMs = latenessPenaltyMs + (job.rank - rank) * RANK_STEP_MS - Math.max(0, now - goalAt)
     if (aheadForMs <= 0) continue
     arrivalsAheadPerMs += perMs
     arrivingPieces += perMs * aheadForMs
--- a/src/services/preparation/common/jobOrder.ts
+++ b/src/services/preparation/common/jobOrder.ts
@@ -41,13 +41,13 @@
     const activeJobs = [...jobs].filter(state => state.isActive)
     const lowestRank = findLowestRank(activeJobs)
     const entries = activeJobs
-      .map(state => ({ state, remainingMs: this._estimateMinimum(state) + (state === newJob ? ADMISSION_MARGIN * state.job.goalInMs : 0), lateMs: computeLatenessPenaltyMs(state, lowestRank), score: this._scoreOnTime(state, now) }))
+      .map(state => ({ state, remainingMs: this._estimateMinimumMs(state) + (state === newJob ? ADMISSION_MARGIN * state.job.goalInMs : 0), latenessPenaltyMs: computeLatenessPenaltyMs(state, lowestRank), score: this._scoreOnTime(state, now) }))
       .sort((a, b) => a.score - b.score)
     return forecastJobs(entries, capacities, now)
   }
 
   /** Estimates the remaining time of a job from the usual call durations, the request itself included. */
-  estimateRemaining (state: JobState, now: number): number {
+  estimateRemainingMs (state: JobState, now: number): number {
     return state.expectedRequestMs + state.estimateStagesMs((role, pieceCount) => {
       const work = this._workSpecs.get(role)
       return work === undefined ? 0 : this._pool.getRate(role).computeUsualCallMs(work, pieceCount, now)
@@ -56,14 +56,14 @@
 
   /** Returns the score of a job that can be in time; lower scores go first. */
   private _scoreOnTime (state: JobState, now: number): number {
-    return state.goalAt - this.estimateRemaining(state, now) + state.job.rank * RANK_STEP_MS
+    return state.goalAt - this.estimateRemainingMs(state, now) + state.job.rank * RANK_STEP_MS
   }
 
   /**
    * Estimates the minimum remaining time of a job: its calls contain no pieces of other jobs. Jobs are classified as late by
    * this value, since usual call durations would classify urgent jobs as late that can still meet their goal.
    */
-  private _estimateMinimum (state: JobState): number {
+  private _estimateMinimumMs (state: JobState): number {
     return state.expectedRequestMs + state.estimateStagesMs((role, pieceCount) => {
       const work = this._workSpecs.get(role)
       return work === undefined ? 0 : computeCallMs(work, Math.min(pieceCount, work.maxPiecesPerCall))
@@ -77,6 +77,6 @@
 }
 
 function computeLatenessPenaltyMs ({ job, goalAt, deadlineAt }: JobState, lowestRank: number): number {
-  const lateMs = LATE_GOAL_RATIO * Math.max(0, deadlineAt - goalAt)
-  return job.rank < lowestRank ? Math.min(MAX_LATENESS_PENALTY_MS, lateMs) : lateMs
+  const latenessPenaltyMs = LATE_GOAL_RATIO * Math.max(0, deadlineAt - goalAt)
+  return job.rank < lowestRank ? Math.min(MAX_LATENESS_PENALTY_MS, latenessPenaltyMs) : latenessPenaltyMs
 }
--- a/src/services/preparation/common/jobResults.ts
+++ b/src/services/preparation/common/jobResults.ts
@@ -34,15 +34,15 @@
       piece.status = 'made'
       piece.result = result
       piece.computedAt = now - ageMs
-      upstream.reserveRoom(state.job.stages[stage]?.resultBytes ?? 0)
+      upstream.reserveCapacity(state.job.stages[stage]?.resultBytes ?? 0)
     }
   }
 
-  /** Stops counting the room of the job's results without freeing them. */
+  /** Releases the reserved capacity of the job's results without freeing the results. */
   forgetAll (state: JobState): void {
     state.pieces.forEach((pieces, stage) => {
       const bytes = state.job.stages[stage]?.resultBytes ?? 0
-      for (const piece of pieces) if (piece.result !== undefined) this._upstreams.get(piece.result.upstreamId)?.releaseRoom(bytes)
+      for (const piece of pieces) if (piece.result !== undefined) this._upstreams.get(piece.result.upstreamId)?.releaseCapacity(bytes)
     })
   }
 
--- a/src/services/preparation/common/jobTargets.ts
+++ b/src/services/preparation/common/jobTargets.ts
@@ -37,7 +37,7 @@
       shape: request,
       candidates: this._listCandidates(state),
       bytesByHall: sumBytesByHall(state, id => upstreams.get(id)?.hall),
-      waitByHall: state.isHandedOver ? NO_WAITS : halls.computeWaits(state, 'target', now)
+      waitByHall: state.isHandedOver ? NO_WAITS : halls.computeWaitsMs(state, 'target', now)
     }, now)
     state.expectedRequestMs = choice?.costMs ?? 0
     state.targetId = choice?.id ?? ''
--- a/src/services/preparation/common/pieceProtocol.ts
+++ b/src/services/preparation/common/pieceProtocol.ts
@@ -20,7 +20,7 @@
   readonly onDidReceiveStatement = this._onDidReceiveStatement.event
 
   /** Runs pieces in one call. Never rejects. */
-  abstract runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], terms: PieceCallOptions): Promise<PieceCallOutcome>
+  abstract runPieces (upstream: UpstreamEntry, pieces: readonly PlannedPiece[], options: PieceCallOptions): Promise<PieceCallOutcome>
   /** Frees results; resolves to false if the upstream did not confirm it. */
-  abstract freeResults (upstream: UpstreamEntry, handles: readonly string[], terms?: FreeOptions): Promise<boolean>
+  abstract freeResults (upstream: UpstreamEntry, handles: readonly string[], options?: FreeOptions): Promise<boolean>
 }
--- a/src/services/preparation/common/pieceUpstream.ts
+++ b/src/services/preparation/common/pieceUpstream.ts
@@ -1,5 +1,5 @@
 /**
- * The planner's state of an upstream that runs pieces: its running calls, the room that results occupy, its speed and its
+ * The planner's state of an upstream that runs pieces: its running calls, the result capacity in use, its speed and its
  * backoffs.
  */
 
@@ -20,7 +20,7 @@
   readonly work: PieceWorkSpec
 }
 
-interface UnavailableRoom {
+interface UnavailableCapacity {
   readonly bytes: number
   readonly until: number
 }
@@ -47,8 +47,8 @@
   private _slowness = 1
   private _measuredAt = 0
   private _usedBytes = 0
-  /** Room of results that the upstream may hold but that cannot be freed; it becomes free at the end of their lifetime. */
-  private _unavailableRoom: readonly UnavailableRoom[] = []
+  /** Capacity for results that the upstream may hold but that cannot be freed; it becomes free at the end of their lifetime. */
+  private _unavailableCapacity: readonly UnavailableCapacity[] = []
   private _failureBackoffUntil = 0
   private _failureBackoffMs = INITIAL_BACKOFF_MS
   private _rateLimitedUntil = 0
@@ -75,35 +75,35 @@
     return this.acceptsWork && now >= Math.max(this._failureBackoffUntil, this._requestedBackoffUntil)
   }
 
-  /** Returns the remaining time of a backoff that the upstream asked for. */
+  /** Returns the remaining time of a backoff that the upstream requested. */
   getRequestedBackoffMs (now: number): number {
     return Math.max(0, this._requestedBackoffUntil - now)
   }
 
   getFreeBytes (now: number): number {
-    this._unavailableRoom = this._unavailableRoom.filter(room => room.until > now)
-    const unavailableBytes = this._unavailableRoom.reduce((sum, room) => sum + room.bytes, 0)
+    this._unavailableCapacity = this._unavailableCapacity.filter(reserved => reserved.until > now)
+    const unavailableBytes = this._unavailableCapacity.reduce((sum, reserved) => sum + reserved.bytes, 0)
     return this.work.resultRoomBytes - this._usedBytes - unavailableBytes
   }
 
-  reserveRoom (bytes: number): void {
+  reserveCapacity (bytes: number): void {
     this._usedBytes += bytes
   }
 
-  releaseRoom (bytes: number): void {
+  releaseCapacity (bytes: number): void {
     this._usedBytes = Math.max(0, this._usedBytes - bytes)
   }
 
-  /** Keeps room in use until the lifetime of its results ends, since they may still be stored but cannot be freed. */
-  retainRoom (bytes: number, now: number): void {
-    this.releaseRoom(bytes)
-    this._unavailableRoom = [...this._unavailableRoom, { bytes, until: now + this.work.resultLifetimeMs }]
+  /** Keeps capacity reserved until the lifetime of its results ends, since they may still be stored but cannot be freed. */
+  retainCapacity (bytes: number, now: number): void {
+    this.releaseCapacity(bytes)
+    this._unavailableCapacity = [...this._unavailableCapacity, { bytes, until: now + this.work.resultLifetimeMs }]
   }
 
-  /** Regards the free room as used for a short time, since the upstream reported that it has none. */
+  /** Regards the free capacity as used for a short time, since the upstream reported that it has none. */
   recordFull (now: number): void {
     const free = this.getFreeBytes(now)
-    if (free > 0) this._unavailableRoom = [...this._unavailableRoom, { bytes: free, until: now + INITIAL_BACKOFF_MS }]
+    if (free > 0) this._unavailableCapacity = [...this._unavailableCapacity, { bytes: free, until: now + INITIAL_BACKOFF_MS }]
   }
 
   /** Starts no call for a while because of a rate limit; the upstream still counts as usable. */
@@ -111,7 +111,7 @@
     this._rateLimitedUntil = Math.max(this._rateLimitedUntil, now + forMs)
   }
 
-  /** Records a backoff that the upstream asked for; it is not usable until that ends. */
+  /** Records a backoff that the upstream requested; the upstream is not usable until that ends. */
   recordRequestedBackoff (now: number, forMs: number): void {
     this._requestedBackoffUntil = Math.max(this._requestedBackoffUntil, now + forMs)
   }
--- a/src/services/preparation/common/plannedCall.ts
+++ b/src/services/preparation/common/plannedCall.ts
@@ -22,7 +22,7 @@
   readonly pieces: readonly PlannedPiece[]
   /** Pieces of the role that were ready but are not in this call, and stay waiting. */
   readonly leftWaiting: number
-  /** Free room at the upstream when the call was planned, before its own results are reserved. */
+  /** Free result capacity of the upstream when the call was planned, before capacity for its own results is reserved. */
   readonly freeBytes: number
   readonly expectedMs: number
   readonly timeoutMs: number
@@ -35,7 +35,7 @@
 export type PieceCallOutcome =
   | { readonly kind: 'answered', readonly pieces: readonly PieceOutcome[] }
   | { readonly kind: 'notRun', readonly reason: 'full' | 'otherUpstream' | 'unreachable' | 'refused' | 'withheld' }
-  /** Nothing was sent: the upstream is rate limited, or asked its callers to back off. */
+  /** Nothing was sent: the upstream is rate limited, or requested a backoff. */
   | { readonly kind: 'notRun', readonly reason: 'limited' | 'backingOff', readonly retryInMs: number }
   /** The flag is set if the upstream did not crash: it sent an unexpected answer, or kept the connection open until the timeout. */
   | { readonly kind: 'lost', readonly reason: string, readonly isUpstreamAlive?: boolean }
--- a/src/services/preparation/common/preparationJob.ts
+++ b/src/services/preparation/common/preparationJob.ts
@@ -22,7 +22,7 @@
 }
 
 export interface PreparationJob {
-  /** The id of the caller's attempt, which is sent along with the pieces. */
+  /** The id of the caller's try, which is sent along with the pieces. */
   readonly id: string
   /** Identifies the input of pieces in stages without input stages. */
   readonly key: string
--- a/src/services/preparation/common/preparationMessage.ts
+++ b/src/services/preparation/common/preparationMessage.ts
@@ -102,7 +102,7 @@
     /** The upstream's limit as the sender knows it; earlier versions do not send it. */
     limit: Schema.optional(Schema.Struct({ perS: NonNegative, burst: NonNegative }))
   }),
-  /** Whether the request may be sent; if not, when to ask again. */
+  /** Whether the request may be sent; if not, the delay before the next query. */
   Schema.Struct({ kind: Schema.Literal('quotaAnswered'), id: Count, isGranted: Schema.Boolean, retryInMs: NonNegative }),
   /** Probes the other side of the link. */
   Schema.Struct({ kind: Schema.Literal('ping') }),
--- a/src/services/preparation/common/preparationPlanner.ts
+++ b/src/services/preparation/common/preparationPlanner.ts
@@ -237,8 +237,8 @@
 
   completeFree (free: PlannedFree, isDone: boolean, now: number): void {
     const upstream = this._upstreams.get(free.upstreamId)
-    if (isDone) upstream?.releaseRoom(free.bytes)
-    else upstream?.retainRoom(free.bytes, now)
+    if (isDone) upstream?.releaseCapacity(free.bytes)
+    else upstream?.retainCapacity(free.bytes, now)
   }
 
   measureLoad (now: number): PlanLoad {
@@ -277,7 +277,7 @@
     for (const piece of batch) {
       getPiece(piece).status = 'running'
       piece.state.timer.recordStart(now)
-      upstream.reserveRoom(piece.bytes)
+      upstream.reserveCapacity(piece.bytes)
     }
     this._calls.set(call.id, { call, pieces: batch, startedAt: now })
     return call
@@ -294,7 +294,7 @@
       else if (!this._hasJob(pieceKey.state)) this._jobResults.freePiece(piece, bytes)
       return
     }
-    upstream?.releaseRoom(bytes)
+    upstream?.releaseCapacity(bytes)
     if (outcome.reason === 'noRoom') upstream?.recordFull(now)
     else piece.failures++
     pieceKey.state.reopen(pieceKey.stage, piece)
@@ -312,8 +312,8 @@
 
   private _recordFailedCall (started: StartedCall, outcome: PieceCallOutcome, upstream: PieceUpstream | undefined, now: number): void {
     const bytes = started.pieces.reduce((sum, piece) => sum + (piece.state.job.stages[piece.stage]?.resultBytes ?? 0), 0)
-    if (outcome.kind === 'lost') upstream?.retainRoom(bytes, now)
-    else upstream?.releaseRoom(bytes)
+    if (outcome.kind === 'lost') upstream?.retainCapacity(bytes, now)
+    else upstream?.releaseCapacity(bytes)
     if (outcome.kind === 'notRun' && (outcome.reason === 'full' || outcome.reason === 'withheld')) upstream?.applyBriefBackoff(now, FULL_BACKOFF_MS)
     else if (outcome.kind === 'notRun' && outcome.reason === 'backingOff') upstream?.recordRequestedBackoff(now, outcome.retryInMs)
     else if (outcome.kind === 'notRun' && outcome.reason === 'limited') upstream?.recordRateLimit(now, outcome.retryInMs)
@@ -374,7 +374,7 @@
       const { state } = forecast
       state.isLate = forecast.isLate
       const isUnstartedAndLate = forecast.endAt > state.deadlineAt && !state.isStarted
-      const isInfeasible = now + this._jobOrder.estimateRemaining(state, now) > state.deadlineAt
+      const isInfeasible = now + this._jobOrder.estimateRemainingMs(state, now) > state.deadlineAt
       if (isUnstartedAndLate || isInfeasible) this._refuse(state, { reason: 'overloaded', retryAfterMs: computeRetryAfterMs(forecast, state.deadlineAt) })
     }
   }
--- a/src/services/preparation/common/readyPiece.ts
+++ b/src/services/preparation/common/readyPiece.ts
@@ -29,7 +29,7 @@
   return piece
 }
 
-/** Tells owners of unfinished jobs which upstream holds which result, so that their jobs can continue if this plan is lost. */
+/** Notifies owners of unfinished jobs which upstream holds which result, so that their jobs can continue if this plan is lost. */
 export function createComputedUpdates (pieces: readonly PieceKey[]): readonly JobUpdate[] {
   const byJob = new Map<string, ComputedPiece[]>()
   for (const key of pieces) {
@@ -76,7 +76,7 @@
   return Math.min(work.maxPiecesPerCall, Math.max(minFill, Math.ceil(waiting / availableCount)))
 }
 
-/** Selects the first pieces that can share a call and for whose results the upstream has room. */
+/** Selects the first pieces that can share a call and for whose results the upstream has capacity. */
 export function selectBatch (pieces: readonly ReadyPiece[], upstream: PieceUpstream, size: number, now: number): readonly ReadyPiece[] {
   let freeBytes = upstream.getFreeBytes(now)
   const chosen: ReadyPiece[] = []
--- a/src/services/preparation/common/releaseDelay.ts
+++ b/src/services/preparation/common/releaseDelay.ts
@@ -1,7 +1,7 @@
 /**
  * Computes how long results are kept after the request that uses them was sent. Upstreams fetch inputs when a request
  * arrives, long before its first event, and do not report the end of the fetch; keeping results until the first event would
- * waste scarce room. The delay is therefore derived from the size, and increases if an upstream finds inputs missing.
+ * waste scarce result capacity. The delay is therefore derived from the size, and increases if an upstream finds inputs missing.
  */
 
 const BASE_MS = 40
--- a/src/services/preparation/common/roleRate.ts
+++ b/src/services/preparation/common/roleRate.ts
@@ -1,6 +1,6 @@
 /**
  * Measures the throughput of the upstreams of one role during a backlog. The nominal throughput from the configuration is
- * a third higher than what is reached in practice: calls are not full, room is limited, and pieces wait for their hall.
+ * a third higher than what is reached in practice: calls are not full, result capacity is limited, and pieces wait for their hall.
  */
 import { computeCallMs, computePieceCost } from './pieceUpstream.ts'
 import type { PieceWorkSpec } from './pieceUpstream.ts'
@@ -54,8 +54,8 @@
   /** Returns the usual duration of a call, which may contain pieces of other jobs. */
   computeUsualCallMs (work: PieceWorkSpec, pieceCount: number, now: number): number {
     this._advance(now)
-    const alone = computeCallMs(work, Math.min(pieceCount, work.maxPiecesPerCall))
-    return Math.max(alone, (this._callMs + alone) / (this._calls + 1))
+    const aloneMs = computeCallMs(work, Math.min(pieceCount, work.maxPiecesPerCall))
+    return Math.max(aloneMs, (this._callMs + aloneMs) / (this._calls + 1))
   }
 
   private _advance (now: number): void {
--- a/src/services/preparation/common/targetPlanner.ts
+++ b/src/services/preparation/common/targetPlanner.ts
@@ -142,14 +142,14 @@
 
   /** Estimates the time until a candidate accepts a request that has `ahead` others queued before it; 0 if one has no rate limit. */
   estimateWaitMs (candidates: readonly TargetCandidate[], ahead: number, now: number): number {
-    let perMs = 0
-    let shortestMs = Infinity
+    let requestsPerMs = 0
+    let shortestWaitMs = Infinity
     for (const candidate of candidates) {
       if (candidate.limit === undefined) return 0
-      perMs += candidate.limit.perS / MS_PER_S
-      shortestMs = Math.min(shortestMs, this._getWaitMs(candidate, now))
+      requestsPerMs += candidate.limit.perS / MS_PER_S
+      shortestWaitMs = Math.min(shortestWaitMs, this._getWaitMs(candidate, now))
     }
-    return candidates.length === 0 ? 0 : shortestMs + (perMs > 0 ? ahead / perMs : 0)
+    return candidates.length === 0 ? 0 : shortestWaitMs + (requestsPerMs > 0 ? ahead / requestsPerMs : 0)
   }
 
   private _getWaitMs ({ id, limit }: TargetCandidate, now: number): number {
@@ -195,8 +195,8 @@
     target.lastProducedAt = now
     const tokens = assignment.tokens + assignment.tokensAhead
     if (tokens <= 0) return
-    const measured = Math.min(MAX_MS_PER_TOKEN, Math.max(MIN_MS_PER_TOKEN, (report.producedMs - FIRST_EVENT_BASE_MS) / tokens))
-    target.msPerToken += SMOOTHING_FACTOR * (measured - target.msPerToken)
+    const measuredMsPerToken = Math.min(MAX_MS_PER_TOKEN, Math.max(MIN_MS_PER_TOKEN, (report.producedMs - FIRST_EVENT_BASE_MS) / tokens))
+    target.msPerToken += SMOOTHING_FACTOR * (measuredMsPerToken - target.msPerToken)
   }
 
   removeTarget (targetId: string): void {
--- a/src/services/preparation/node/coordinatorLink.ts
+++ b/src/services/preparation/node/coordinatorLink.ts
@@ -46,9 +46,9 @@
   private _hasReceived = false
   private _hasTimedOut = false
   private readonly _hallsWithSentPrefixes = new Set<string>()
-  /** Jobs that wait for updates. Liveness is checked only while there are such jobs or unanswered quota requests. */
+  /** Jobs that wait for updates. Liveness is checked only while there are such jobs or unanswered quota queries. */
   openJobCount = 0
-  private _openQuotaRequestCount = 0
+  private _openQuotaQueryCount = 0
 
   private constructor (readonly address: string, socket: Socket, private readonly _clock: IClock) {
     super()
@@ -106,9 +106,9 @@
     this._connection.send(message)
   }
 
-  /** Asks for permission to send one request to an upstream. Liveness is checked until the answer arrives. */
-  askQuota (id: number, upstreamId: string, limit: PeerReportedLimit | undefined): void {
-    this._openQuotaRequestCount++
+  /** Queries the quota for one request to an upstream. Liveness is checked until the answer arrives. */
+  sendQuotaQuery (id: number, upstreamId: string, limit: PeerReportedLimit | undefined): void {
+    this._openQuotaQueryCount++
     this.send({ kind: 'quotaWanted', id, upstreamId, limit })
   }
 
@@ -131,13 +131,13 @@
   }
 
   private _receiveQuotaAnswer (answer: QuotaAnswer): void {
-    this._openQuotaRequestCount--
+    this._openQuotaQueryCount--
     this._onDidReceiveQuotaAnswer.fire(answer)
   }
 
   private _checkLiveness (): void {
     const silentMs = this._clock.now() - this._lastReceivedAt
-    if (this.openJobCount + this._openQuotaRequestCount === 0) this._lastReceivedAt = this._clock.now()
+    if (this.openJobCount + this._openQuotaQueryCount === 0) this._lastReceivedAt = this._clock.now()
     else if (silentMs > SILENCE_TIMEOUT_MS) this._closeSilent()
     else if (silentMs > PING_PERIOD_MS) this.send({ kind: 'ping' })
   }
--- a/src/services/preparation/node/ownedJob.ts
+++ b/src/services/preparation/node/ownedJob.ts
@@ -52,7 +52,7 @@
   }
 
   listCarriedPieces (now: number): readonly CarriedPiece[] {
-    return [...this._results.values()].map(({ stage, index, result, receivedAt: madeAt }) => ({ stage, index, result, ageMs: now - madeAt }))
+    return [...this._results.values()].map(({ stage, index, result, receivedAt }) => ({ stage, index, result, ageMs: now - receivedAt }))
   }
 }
 
--- a/src/services/preparation/node/preparationCoordinator.ts
+++ b/src/services/preparation/node/preparationCoordinator.ts
@@ -33,7 +33,7 @@
   readonly job: PreparationJob
   /** The hall whose upstreams compute the pieces; empty for all halls. */
   readonly hall: string
-  /** The plan may decline the job if it would finish late; the owner then asks another plan. */
+  /** The plan may decline the job if it would finish late; the owner then tries another plan. */
   readonly isOffer?: boolean
   /** Results that were computed under an earlier coordinator. */
   readonly carried?: readonly CarriedPiece[]
@@ -196,8 +196,8 @@
   }
 
   /** Adds an owner's records of the prompt prefixes that upstreams have processed. */
-  addPrefixes (hall: string, notes: readonly PrefixEntry[]): void {
-    this._getShard(hall).planner.addPrefixes(notes, this._options.clock.now())
+  addPrefixes (hall: string, prefixEntries: readonly PrefixEntry[]): void {
+    this._getShard(hall).planner.addPrefixes(prefixEntries, this._options.clock.now())
   }
 
   /** Records the outcome of a request at the upstream that was chosen for it. */
--- a/src/services/preparation/test/jobForecast.test.ts
+++ b/src/services/preparation/test/jobForecast.test.ts
@@ -18,7 +18,7 @@
 }
 
 function forecast (jobs: readonly PreparationJob[], capacities = createCapacities()) {
-  const entries = jobs.map(job => ({ state: new JobState(job, 0), remainingMs: REMAINING_MS, lateMs: LATE_MS }))
+  const entries = jobs.map(job => ({ state: new JobState(job, 0), remainingMs: REMAINING_MS, latenessPenaltyMs: LATE_MS }))
   return forecastJobs(entries, capacities, 0)
 }
 
--- a/src/services/preparation/test/preparationPlanner.test.ts
+++ b/src/services/preparation/test/preparationPlanner.test.ts
@@ -178,7 +178,7 @@
   assert.is(createPlanner({ upstreams: {} }).addJob(createJob('x', [createStage('a', 1)]), 0)?.reason, 'noUpstream')
 })
 
-test('large results are computed in the hall of the target, as long as the goal isReleasedEarly time', () => {
+test('large results are computed in the hall of the target, as long as the goal allows it', () => {
   const targets = [{ id: 't', hall: 'h1', msPerMovedToken: Infinity }]
   const planner = createPlanner({ upstreams: { a: 2 }, work: { resultRoomBytes: 1e9 }, targets })
   planner.addJob(createJob('x', [createStage('a', 1, [], 3e6)]), 0)
--- a/src/services/quota/common/quotaOwner.ts
+++ b/src/services/quota/common/quotaOwner.ts
@@ -1,6 +1,6 @@
 /**
- * Grants requests to rate-limited upstreams. All nodes ask the same node about the upstreams of a hall, so that requests
- * are counted in one place. Nodes with different views of the membership may ask two different nodes; each grants requests
+ * Grants requests to rate-limited upstreams. All nodes query the same node for the upstreams of a hall, so that requests
+ * are counted in one place. Nodes with different views of the membership may query two different nodes; each grants requests
  * only for halls that it regards as its own, and only once the requests granted by the previous owner have arrived.
  */
 import type { IClock } from '../../../base/common/clock.ts'
--- a/src/services/quota/common/retryAfterSchedule.ts
+++ b/src/services/quota/common/retryAfterSchedule.ts
@@ -2,7 +2,7 @@
  * Computes retry delays for callers whose requests no upstream accepts because of rate limits. Each caller gets its own
  * time, spaced at the rate at which requests are accepted: of callers that retried together, only one would be accepted.
  */
-export interface RetryAfterTerms {
+export interface RetryAfterInputs {
   readonly role: string
   /** Time in ms until one of the role's upstreams accepts a request. */
   readonly earliestMs: number
@@ -21,7 +21,7 @@
   private readonly _lastAssignedAt = new Map<string, number>()
 
   /** Returns the delay in ms. */
-  schedule ({ role, earliestMs, perS, limitEndsInMs }: RetryAfterTerms, now: number): number {
+  schedule ({ role, earliestMs, perS, limitEndsInMs }: RetryAfterInputs, now: number): number {
     const intervalMs = perS > 0 ? MS_PER_S / perS : MAX_RETRY_AFTER_MS
     const nextAt = Math.max(now + earliestMs, (this._lastAssignedAt.get(role) ?? -Infinity) + intervalMs)
     // Once a limit has ended, the upstream accepts any number of requests, so callers need not be spaced out.
--- a/src/services/quota/node/quotaService.ts
+++ b/src/services/quota/node/quotaService.ts
@@ -97,7 +97,7 @@
   private async _sendQuery (address: string, id: number, entry: UpstreamEntry): Promise<void> {
     const link = await this._options.links.connect(address)
     if (link === undefined || link.isClosed) this._completeQuery(id, OWNER_UNREACHABLE)
-    else if (this._pendingQueries.has(id)) link.askQuota(id, entry.id, this._findLocalLimit(entry))
+    else if (this._pendingQueries.has(id)) link.sendQuotaQuery(id, entry.id, this._findLocalLimit(entry))
   }
 
   private _findLocalLimit (entry: UpstreamEntry): PeerReportedLimit | undefined {
--- a/src/services/quota/test/quotaService.test.ts
+++ b/src/services/quota/test/quotaService.test.ts
@@ -107,8 +107,8 @@
 
 test('callers retry when the limit of an upstream ends, if that is sooner', () => {
   const schedule = new RetryAfterSchedule()
-  const terms = { role: 'r', earliestMs: 100, perS: 1, limitEndsInMs: 1500 }
-  assert.equal([0, 0, 0, 0].map(now => schedule.schedule(terms, now)), [100, 1100, 1500, 1500])
+  const inputs = { role: 'r', earliestMs: 100, perS: 1, limitEndsInMs: 1500 }
+  assert.equal([0, 0, 0, 0].map(now => schedule.schedule(inputs, now)), [100, 1100, 1500, 1500])
 })
 
 test.run()
--- a/src/services/relay/common/readyForecast.ts
+++ b/src/services/relay/common/readyForecast.ts
@@ -10,7 +10,7 @@
 const MAX_OUTAGE_MS = 4000
 
 export interface ReadyForecastInputs {
-  /** The source and the peers were asked, and none has a configuration. */
+  /** The source and the peers were queried, and none has a configuration. */
   readonly isOutage: boolean
   /** How long the node has been unable to accept requests. */
   readonly sinceMs: number
--- a/src/services/relay/node/relayAttempt.ts
+++ b/src/services/relay/node/relayAttempt.ts
@@ -176,12 +176,12 @@
         count += events.length
         // A stream that resumes at another upstream keeps the head that the first one sent.
         answer.begin(response.statusCode ?? 0, verdict.headers, isFramed(response))
-        let hasRoom = true
+        let hasBufferSpace = true
         for (const event of events) {
-          hasRoom = answer.write(event.bytes)
+          hasBufferSpace = answer.write(event.bytes)
           lastEventId = event.id ?? lastEventId
         }
-        if (!hasRoom) await answer.waitForDrain()
+        if (!hasBufferSpace) await answer.waitForDrain()
       }
     } catch {
       return this._decideBrokenStream(lastEventId)
--- a/src/services/relay/node/relayContext.ts
+++ b/src/services/relay/node/relayContext.ts
@@ -34,7 +34,7 @@
   readonly guard: SendGuard
   readonly backoffs: IBackoffService
   readonly retry: RetryPolicy
-  readonly recordStatements: (stated: StatementBatch) => void
+  readonly recordStatements: (batch: StatementBatch) => void
   readonly quota: IQuotaService
   readonly preparation: IPreparationService
   readonly releaseDelay: ReleaseDelay
--- a/src/services/relay/node/relayServer.ts
+++ b/src/services/relay/node/relayServer.ts
@@ -162,9 +162,9 @@
     }
   }
 
-  private _reportEnd (admitted: AdmittedRequest, end: RelayOutcome, elapsedMs: number): void {
+  private _reportEnd (admitted: AdmittedRequest, outcome: RelayOutcome, elapsedMs: number): void {
     const { request, route, customer } = admitted
-    this._onDidEnd.fire({ id: request.id, route: route.name, customer: customer ?? '', elapsedMs, end })
+    this._onDidEnd.fire({ id: request.id, route: route.name, customer: customer ?? '', elapsedMs, end: outcome })
   }
 
   private _admit (request: RelayRequest): Either<RelayRefusal, AdmittedRequest> {
--- a/src/services/relay/node/upstreamSelector.ts
+++ b/src/services/relay/node/upstreamSelector.ts
@@ -54,7 +54,7 @@
     return context.pool.listEligible(role, accepted.homeHalls)
   }
 
-  /** Upstreams that asked this node to back off and whose backoff has not expired. */
+  /** Upstreams that requested a backoff from this node that has not expired. */
   listBackingOff (): readonly UpstreamEntry[] {
     const { backoffs } = this._options.context
     return backoffs.isEmpty ? [] : this.listEligible().filter(({ id }) => backoffs.getWaitMs(id) > 0)
--- a/src/services/relay/test/crashingPreparation.test.ts
+++ b/src/services/relay/test/crashingPreparation.test.ts
@@ -87,9 +87,9 @@
     super()
     const upstream = new FakeUpstream((socket, head) => answerWith(`HTTP/1.1 200 OK\r\nId: ${/^Id: (.+)\r$/m.exec(head)?.[1]}\r\nContent-Length: 2\r\n\r\nok`)(socket, head))
     const preparation: IPreparationService = {
-      prepare: (...terms) => {
+      prepare: (...args) => {
         if (this._client === undefined) throw new Error('not started')
-        return this._client.prepare(...terms)
+        return this._client.prepare(...args)
       }
     }
     this.harness = this._register(new RelayHarness({
