--- a/src/entryNode/callerDirectory.ts
+++ b/src/entryNode/callerDirectory.ts
@@ -24,10 +24,10 @@
 export class CallerDirectory {
   constructor (private readonly _options: CallerDirectoryOptions) {}
 
-  /** Returns the addresses that callers should use and for how long; prefers the home regions of the routes of their host. */
+  /** Returns the addresses that callers should use and for how long; prefers nodes in the home regions of their host's routes. */
   locate ({ host, hall, region }: CallerLocation): AddressAnswer {
     const { clock, facts, membership, regions, hall: ownHall, getTable, getOwnAddress, getMaxKeepMs } = this._options
-    const homes = getTable()?.listHomeRegions(host) ?? []
+    const homeRegions = getTable()?.listHomeRegions(host) ?? []
     const now = clock.now()
     return listNodeAddresses({
       gates: facts.listByKind('gate').map(({ value, observedAt }) => ({ ...value, ageMs: now - observedAt })),
@@ -35,7 +35,7 @@
       hall,
       ownAddress: getOwnAddress(),
       ownHall,
-      isHome: homes.length === 0 ? undefined : nodeHall => [region, ...homes].includes(regions.findRegion(nodeHall) ?? ''),
+      isHome: homeRegions.length === 0 ? undefined : nodeHall => [region, ...homeRegions].includes(regions.findRegion(nodeHall) ?? ''),
       maxKeepMs: getMaxKeepMs()
     })
   }
--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -232,7 +232,7 @@
       findReadinessError: () => this._findReadinessError(),
       estimateReadinessDelayMs: () => estimateReadyMs({ isOutage: this._fleetMember.isReady && this._relayTable === undefined, sinceMs: clock.now() - this._startedAt })
     }))
-    this._metrics = new NodeMetrics(createNodeGauges({ clock, relay: this._relayServer, member: this._fleetMember, registry: this._registry, coordinator: this._coordinator, quota: this._quota, statements: this._statements, quarantine: this._quarantine, pause: this._pauseDetector }))
+    this._metrics = new NodeMetrics(createNodeGauges({ clock, relay: this._relayServer, member: this._fleetMember, registry: this._registry, coordinator: this._coordinator, quota: this._quota, statements: this._statements, quarantine: this._quarantine, pauseDetector: this._pauseDetector }))
     this._register(this._statements.onDidRecordStatement(kind => this._metrics.countStatement(kind)))
     this._statusReporter = new NodeStatusReporter({
       clock,
@@ -287,8 +287,8 @@
   }
 
   /** Returns the addresses that callers should use, and for how long they may cache them. */
-  locate (place: CallerLocation): AddressAnswer {
-    return this._callerDirectory.locate(place)
+  locate (location: CallerLocation): AddressAnswer {
+    return this._callerDirectory.locate(location)
   }
 
   /** Applies the settings that may change at runtime; all others need a restart. */
@@ -365,10 +365,10 @@
     return this._fleetMember.membership.countLive()
   }
 
-  private _recordCompletion (ended: CompletedRequest): void {
+  private _recordCompletion (completed: CompletedRequest): void {
     this._recentRequestCount.add(1)
-    this._metrics.recordRequest(ended)
-    const { id, route, customer, elapsedMs, end } = ended
+    this._metrics.recordRequest(completed)
+    const { id, route, customer, elapsedMs, end } = completed
     this._options.log.info('request_ended', { request: id, route, customer, result: end.result, attempts: end.attempts, prepared_ms: end.preparedMs, produced_ms: end.producedMs, upstream: end.lastUpstream, known_revision: formatPosition(end.known.revision), known_age_ms: Math.round(end.known.ageMs), took_ms: Math.round(elapsedMs) })
   }
 
--- a/src/entryNode/nodeGauges.ts
+++ b/src/entryNode/nodeGauges.ts
@@ -21,10 +21,10 @@
   readonly quota: NodeQuota
   readonly statements: NodeStatements
   readonly quarantine: QuarantineService
-  readonly pause: PauseDetector
+  readonly pauseDetector: PauseDetector
 }
 
-export function createNodeGauges ({ clock, relay, member, registry, coordinator, quota, statements, quarantine, pause }: NodeGaugeSources): NodeGauges {
+export function createNodeGauges ({ clock, relay, member, registry, coordinator, quota, statements, quarantine, pauseDetector }: NodeGaugeSources): NodeGauges {
   const { backoffs, guard } = statements
   return {
     countOpenRequests: () => relay.activeRequestCount,
@@ -43,7 +43,7 @@
     countBackingOffUpstreams: () => backoffs.list().filter(({ leftMs }) => leftMs > 0).length,
     countWithheldSends: () => guard.withheldSendCount,
     countInvalidStatements: () => statements.invalidCount,
-    countPauses: () => pause.pauseCount,
+    countPauses: () => pauseDetector.pauseCount,
     getBytesSent: () => member.traffic.sent
   }
 }
--- a/src/entryNode/nodeSettings.ts
+++ b/src/entryNode/nodeSettings.ts
@@ -29,7 +29,7 @@
   metrics_port: Schema.optional(Port),
   /** The fraction of a core that this host allots to the node. */
   core_share: Schema.Number.pipe(Schema.positive()),
-  /** The speed of that core relative to the usual one. */
+  /** The speed of that core relative to the reference core. */
   core_speed: Schema.Number.pipe(Schema.positive()),
   /** Nodes that are contacted first to join the fleet. */
   seeds: Schema.Array(AddressText),
--- a/src/entryNode/nodeStatements.ts
+++ b/src/entryNode/nodeStatements.ts
@@ -63,7 +63,7 @@
   }
 }
 
-/** Whether a statement says that there is no limit, as nearly every answer does. */
+/** Whether a statement reports that there is no rate limit, as nearly every answer does. */
 function isDefaultStatement (statement: UpstreamStatement): boolean {
   return statement.kind === 'rate' && statement.perS === undefined
 }
--- a/src/entryNode/nodeStatusReporter.ts
+++ b/src/entryNode/nodeStatusReporter.ts
@@ -24,7 +24,7 @@
   readonly incarnation: number
   readonly getStatus: () => NodeStatus
   /** Called after each report, so that it can be sent to the other nodes at once. */
-  readonly onDidReport: (state: NodeStatus) => void
+  readonly onDidReport: (status: NodeStatus) => void
 }
 
 /** An unchanged status is published again after this time to replace lost facts; probes detect whether the node is alive. */
@@ -42,8 +42,8 @@
 
   /** Publishes the status if the availability for callers has changed or the last report is older than REPORT_REFRESH_PERIOD_MS. */
   reportIfChanged (): void {
-    const { clock, facts, address, hall, incarnation, getStatus: getState, onDidReport } = this._options
-    const status = getState()
+    const { clock, facts, address, hall, incarnation, getStatus, onDidReport } = this._options
+    const status = getStatus()
     const { isReady: ready, isDraining: draining, inFlight, recentRequests, configuration } = status
     const availability = `${ready}/${draining}`
     if (availability === this._reportedAvailability && clock.now() - this._reportedAt < REPORT_REFRESH_PERIOD_MS) return
@@ -52,7 +52,7 @@
     const subject = formatGateSubject(address)
     facts.merge({
       subject,
-      // Facts must also be accepted when this node's clock is behind that of the previous node at this address.
+      // The incarnation must not be lower than that of the previous node at this address, whose clock may have been ahead.
       incarnation: Math.max(incarnation, facts.get(subject)?.incarnation ?? 0),
       counter: ++this._factCounter,
       value: { kind: 'gate', address, hall, inFlight, recentRequests, draining, ready, configuration },
--- a/src/entryNode/upstreamSynchronizer.ts
+++ b/src/entryNode/upstreamSynchronizer.ts
@@ -23,7 +23,7 @@
   readonly getColdMs?: (role: string) => number
 }
 
-/** Fact counters order the states of one upstream instance: gone supersedes leaving. */
+/** Fact counters define the precedence of the states of one upstream instance: gone supersedes leaving. */
 const LEAVING_COUNTER = 1
 const GONE_COUNTER = 2
 const PEER_SIGNAL = 'peer'
@@ -131,7 +131,7 @@
     log.info(isEvacuated ? 'hall_evacuated' : 'hall_readmitted', { hall, revision: formatPosition(revision), source: peer === '' ? 'own' : peer, known_revision: formatPosition(known.revision), known_age_ms: Math.round(known.ageMs) })
   }
 
-  /** Upstreams may have become cold during the evacuation, and their report of it may have been lost with a store. */
+  /** Upstreams may have become cold during the evacuation, and their report of it may have been lost if a store of the source failed. */
   private _markHallCold (hall: string): void {
     const { clock, registry, getColdMs = () => 0 } = this._options
     for (const entry of registry.list()) {
--- a/src/services/configuration/common/configurationDocument.ts
+++ b/src/services/configuration/common/configurationDocument.ts
@@ -23,7 +23,7 @@
   readonly configuration: Configuration
 }
 
-/** The platform's limit for one value. */
+/** The platform's limit for one value, in characters. */
 const MAX_DOCUMENT_LENGTH = 1024 * 1024
 
 function parseDocument (text: string): Either<PepperwoodError, Configuration> {
--- a/src/services/configuration/common/configurationSource.ts
+++ b/src/services/configuration/common/configurationSource.ts
@@ -7,7 +7,7 @@
 
 export abstract class ConfigurationSource extends Disposable {
   private readonly _onDidRead = this._register(new Emitter<ConfigurationText>())
-  /** Fires with each document read, translated to the text form of the configuration schema. */
+  /** Fires with each document read, converted to the JSON form of the configuration schema. */
   readonly onDidRead = this._onDidRead.event
 
   private readonly _onDidMissDocument = this._register(new Emitter<number>())
--- a/src/services/configuration/common/relayRules.ts
+++ b/src/services/configuration/common/relayRules.ts
@@ -19,9 +19,9 @@
   })
   relay.routes.forEach((route, index) => checkRoute(`relay.routes[${index}]`, route, name => roles.has(name), report))
   relay.routes.forEach((route, index) => {
-    route.stages.forEach((stage, number) => {
+    route.stages.forEach((stage, stageIndex) => {
       if (roles.get(stage.role)?.pieceWork !== undefined) return
-      report(`relay.routes[${index}].stages[${number}].role`, stage.role, 'expected a role with piece work')
+      report(`relay.routes[${index}].stages[${stageIndex}].role`, stage.role, 'expected a role with piece work')
     })
   })
   relay.customers.forEach((customer, index) => checkCustomer(`relay.customers[${index}]`, customer, report))
--- a/src/services/configuration/test/fetchDeduplicator.test.ts
+++ b/src/services/configuration/test/fetchDeduplicator.test.ts
@@ -10,25 +10,25 @@
 }
 
 test('a document is fetched once, however many peers offer it', () => {
-  const guard = new FetchDeduplicator(new VirtualClock())
-  assert.ok(guard.tryBeginFetch(createStamp(2), createStamp(1)))
-  assert.not(guard.tryBeginFetch(createStamp(2), createStamp(1)))
-  assert.ok(guard.tryBeginFetch(createStamp(3), createStamp(1)))
-  assert.not(guard.tryBeginFetch(createStamp(2), createStamp(1)))
+  const deduplicator = new FetchDeduplicator(new VirtualClock())
+  assert.ok(deduplicator.tryBeginFetch(createStamp(2), createStamp(1)))
+  assert.not(deduplicator.tryBeginFetch(createStamp(2), createStamp(1)))
+  assert.ok(deduplicator.tryBeginFetch(createStamp(3), createStamp(1)))
+  assert.not(deduplicator.tryBeginFetch(createStamp(2), createStamp(1)))
 })
 
 test('a document that is already held is not fetched', () => {
-  const guard = new FetchDeduplicator(new VirtualClock())
-  assert.not(guard.tryBeginFetch(createStamp(2), createStamp(2)))
-  assert.not(guard.tryBeginFetch(createStamp(1), createStamp(2)))
+  const deduplicator = new FetchDeduplicator(new VirtualClock())
+  assert.not(deduplicator.tryBeginFetch(createStamp(2), createStamp(2)))
+  assert.not(deduplicator.tryBeginFetch(createStamp(1), createStamp(2)))
 })
 
 test('a fetch without an answer times out, and another peer is asked', () => {
   const clock = new VirtualClock()
-  const guard = new FetchDeduplicator(clock)
-  assert.ok(guard.tryBeginFetch(createStamp(2), createStamp(1)))
+  const deduplicator = new FetchDeduplicator(clock)
+  assert.ok(deduplicator.tryBeginFetch(createStamp(2), createStamp(1)))
   clock.advance(500)
-  assert.ok(guard.tryBeginFetch(createStamp(2), createStamp(1)))
+  assert.ok(deduplicator.tryBeginFetch(createStamp(2), createStamp(1)))
 })
 
 test.run()
--- a/src/services/facts/common/fact.ts
+++ b/src/services/facts/common/fact.ts
@@ -22,7 +22,7 @@
   readonly address: string
   readonly hall: string
   readonly inFlight: number
-  /** Recently accepted requests, with a decaying count, so that it follows the callers that currently use the gate. */
+  /** Decaying count of accepted requests, so that it reflects the callers that currently use the gate. */
   readonly recentRequests: number
   readonly draining: boolean
   readonly ready: boolean
@@ -51,23 +51,23 @@
   readonly signal: string
 }
 
-/** A run that the fact's writer had in flight at an upstream when the upstream ended. */
+/** A run that the fact's writer had in flight at an upstream when the upstream crashed. */
 export interface InterruptedRun {
   /** The digest that all attempts of one request share. */
   readonly digest: string
   readonly bodyBytes: number
-  /** How long before the end the run was sent, in milliseconds. */
+  /** How long before the crash the run was sent, in milliseconds. */
   readonly sentBeforeMs: number
 }
 
-/** An upstream incarnation ended unannounced, with the writer's runs in flight there. The age of the fact is the time since the end. */
+/** An upstream incarnation crashed, with the writer's runs in flight there. The age of the fact is the time since the crash. */
 export interface EndedFact {
   readonly kind: 'ended'
   readonly upstream: string
   readonly runs: readonly InterruptedRun[]
 }
 
-/** Ends of upstreams before this fact no longer count as evidence against a request. */
+/** Crashes of upstreams before this fact no longer count as evidence against a request. */
 export interface ClearedFact {
   readonly kind: 'cleared'
   readonly digest: string
--- a/src/services/facts/common/factStore.ts
+++ b/src/services/facts/common/factStore.ts
@@ -31,7 +31,7 @@
 /** The subjects of some kinds are short-lived. Facts of these kinds expire after this time, and older ones are not accepted from peers. */
 const MAX_FACT_AGE_MS = 600_000
 const EXPIRING_KINDS = ['gate', 'ended', 'cleared', 'limit'] as const
-/** Room for 1000 ends of upstreams, each reported by a few nodes, and for the facts that clear them; more would displace members. */
+/** Room for 1000 crashes of upstreams, each reported by a few nodes, and for the facts that clear them; more would displace members. */
 const MAX_EVIDENCE_FACTS = 4000
 /** Far more than a fleet of the target size needs; protects against a faulty sender. */
 const MAX_FACTS = 20_000
@@ -114,8 +114,8 @@
   /**
    * Returns the facts learned after `sequence`, ready to send to the peer `excludedSource`. Facts that this peer itself sent
    * after the sequence number `excludedAfter` are left out; earlier ones are included, since it may have lost them in a
-   * restart. Facts that clear requests come first: otherwise a joining node would, between two facts, treat requests as
-   * the cause of an end although they have been served since.
+   * restart. Facts that clear requests come first: otherwise a joining node would, until they arrive, regard requests as
+   * the cause of a crash although they have been served since.
    */
   listSince (sequence: number, excludedSource: string, excludedAfter = 0): readonly Fact[] {
     const otherFacts: StoredFact[] = []
--- a/src/services/facts/node/peerLink.ts
+++ b/src/services/facts/node/peerLink.ts
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Announces the local configuration if it is higher, or requests the peer's one if that is higher. The fetch guard keeps
-   * the process from requesting a configuration over several links at once. If configurations were sent unrequested, a new
+   * Announces the local configuration if it is higher, or requests the peer's if that is higher, unless the process
+   * already requests that configuration over another link. If configurations were sent unrequested, a new
    * one would arrive from every peer: in a fleet of 78 members that saturated slow links for seconds.
    */
   private _compareConfiguration (peerStamp: ConfigurationStamp): void {
--- a/src/services/feed/node/feedService.ts
+++ b/src/services/feed/node/feedService.ts
@@ -26,7 +26,7 @@
   connect (address: string): Promise<PeerLink | undefined>
   dropLink (address: string): void
   /** Sets the members whose links have to stay open. */
-  holdLinks (addresses: readonly string[]): void
+  retainLinks (addresses: readonly string[]): void
 }
 
 export interface FeedServiceOptions {
@@ -47,7 +47,7 @@
   readonly unansweredSince: number
 }
 
-/** Feeders are chosen periodically because the choice covers all members, which change by the hundred when a fleet starts. */
+/** Feeders are chosen periodically instead of on each change: the choice covers all members, and hundreds change when a fleet starts. */
 const CHOICE_PERIOD_MS = 500
 /** Interval between requests to a feeder that is not reliable. */
 const REQUEST_PERIOD_MS = 1000
@@ -116,7 +116,7 @@
   }
 
   private _processChanges (source: string, received: SourceChanges & { readonly heardForMs: number, readonly ageMs: number }): void {
-    // A message of a former feeder, whose changes may have a gap, or one that arrived before the first list.
+    // Ignores messages of former feeders, whose changes may have a gap, and those that arrive before the first list.
     if (!this._feeders.includes(source) || this._revision === undefined) return
     const now = this._options.clock.now()
     const { after, revision, changes, heardForMs, ageMs } = received
@@ -146,7 +146,7 @@
     if (feeders.join() === this._feeders.join()) return
     this._feeders = feeders
     this._tracker.setFeeders(feeders)
-    this._options.links.holdLinks(feeders)
+    this._options.links.retainLinks(feeders)
     this._options.log.info('feeders_chosen', { feeders: feeders.join(','), members: members.length })
   }
 
--- a/src/services/feed/test/silentFeeder.test.ts
+++ b/src/services/feed/test/silentFeeder.test.ts
@@ -39,7 +39,7 @@
     this.dropped.push(address)
   }
 
-  holdLinks (): void {}
+  retainLinks (): void {}
 
   private _sendAnswer (link: PeerLink): void {
     if (this._answer !== undefined) this._onDidReceive.fire({ link, message: this._answer })
--- a/src/services/membership/common/membershipTable.ts
+++ b/src/services/membership/common/membershipTable.ts
@@ -95,7 +95,7 @@
     return Math.max(1, this.listLive().length)
   }
 
-  /** Derives the lists anew only after a member fact has changed. */
+  /** Derives the lists again only if a member fact has changed. */
   private _deriveSnapshot (): MemberSnapshot {
     const facts = this._listFacts()
     if (facts === this._snapshot.facts) return this._snapshot
@@ -116,7 +116,7 @@
     return this._deriveSnapshot().peerAddresses
   }
 
-  /** Members considered dead. They may be alive: a network partition cannot be told from the failure of the other side. */
+  /** Members considered dead. They may be alive: a network partition cannot be distinguished from their failure. */
   listDead (): readonly Member[] {
     return this.listMembers().filter(member => member.state === 'dead')
   }
--- a/src/services/membership/node/fleetMember.ts
+++ b/src/services/membership/node/fleetMember.ts
@@ -63,7 +63,7 @@
 
 /**
  * How long a node whose seeds do not answer waits for any peer before it assumes that it is the only member. Hosts that
- * start together come up within 0.4 s of each other; without the wait each would plan alone and use capacity that
+ * start together become reachable within 0.4 s of each other; without the wait each would plan alone and use capacity that
  * the others use too.
  */
 const NO_PEER_WAIT_MS = 1000
@@ -95,7 +95,7 @@
   readonly membership: MembershipTable
   readonly gossip: GossipService
   private readonly _options: FleetMemberOptions
-  private readonly _fetchGuard: FetchDeduplicator
+  private readonly _fetchDeduplicator: FetchDeduplicator
   private readonly _acceptedLinks = new Set<PeerLink>()
   private _closedTraffic: LinkTraffic = { sent: 0, received: 0 }
   private _isReady = false
@@ -110,7 +110,7 @@
     const { clock, random } = options
     this.facts = this._register(new FactStore(clock))
     this.configuration = this._register(new ConfigurationService(clock))
-    this._fetchGuard = new FetchDeduplicator(clock)
+    this._fetchDeduplicator = new FetchDeduplicator(clock)
     this.membership = this._register(new MembershipTable({ ...options, facts: this.facts }))
     this.gossip = this._register(new GossipService({
       clock,
@@ -235,7 +235,7 @@
     return {
       facts: this.facts,
       configuration: this.configuration,
-      fetchGuard: this._fetchGuard,
+      fetchGuard: this._fetchDeduplicator,
       log,
       hello: { kind: 'hello' as const, role: 'steward' as const, address, hall },
       mayShareConfiguration: () => this._isReady
@@ -287,7 +287,7 @@
     // A slow fleet produces hundreds of suspicions, and forwarding each at once would slow it further. The next gossip
     // round is soon enough for suspicions and for the facts that refute them.
     if (value.kind === 'member' && (value.state === 'suspect' || value.state === 'alive') && fact.source !== '') return
-    // All other facts that reach this line are urgent.
+    // All other kinds of facts that were not filtered out above are urgent.
     this.gossip.scheduleUrgentRound(value.kind === 'member' && value.state === 'left' && fact.source === '')
   }
 }
--- a/src/services/membership/node/gossipService.ts
+++ b/src/services/membership/node/gossipService.ts
@@ -129,7 +129,7 @@
   }
 
   /** Sets the members to which links stay open although they may not be neighbours. */
-  holdLinks (addresses: readonly string[]): void {
+  retainLinks (addresses: readonly string[]): void {
     this._retainedAddresses = addresses
   }
 
--- a/src/services/membership/test/boundedLinks.test.ts
+++ b/src/services/membership/test/boundedLinks.test.ts
@@ -20,7 +20,7 @@
 const LINK_CLOSE_MS = 8000
 /** Time for a probe, the indirect probes and a suspicion of 2 s for each lost member. */
 const LOSS_DETECTION_MS = 12_000
-/** Lost members are tried one by one. */
+/** Reconnections to lost members are attempted one by one. */
 const RECOVERY_MS = 12_000
 const SEED_COUNT = 3
 
@@ -74,12 +74,12 @@
   assert.ok(await waitUntil(() => members.every(member => member.facts.get(formatLeavingSubject('u')) !== undefined), PROPAGATION_MS), 'the fact did not reach all members')
 }))
 
-test('seeds that all restart, and know no other member, are found by the remaining members', () => runWith(async ({ members, restart: startAgain }) => {
-  const left = members.slice(SEED_COUNT)
+test('seeds that all restart, and know no other member, are found by the remaining members', () => runWith(async ({ members, restart }) => {
+  const remaining = members.slice(SEED_COUNT)
   for (const member of members.slice(0, SEED_COUNT)) member.dispose()
-  assert.ok(await waitUntil(() => left.every(member => member.membership.listLive().length === left.length), LOSS_DETECTION_MS), 'the loss of the seeds was not detected')
-  const again = await Promise.all([0, 1, 2].map(startAgain))
-  assert.ok(await waitUntil(() => [...again, ...left].every(member => member.membership.listLive().length === MEMBER_COUNT), RECOVERY_MS), 'some members did not find all others')
+  assert.ok(await waitUntil(() => remaining.every(member => member.membership.listLive().length === remaining.length), LOSS_DETECTION_MS), 'the loss of the seeds was not detected')
+  const restarted = await Promise.all([0, 1, 2].map(restart))
+  assert.ok(await waitUntil(() => [...restarted, ...remaining].every(member => member.membership.listLive().length === MEMBER_COUNT), RECOVERY_MS), 'some members did not find all others')
 }))
 
 test.run()
--- a/src/services/quarantine/common/crashEvidence.ts
+++ b/src/services/quarantine/common/crashEvidence.ts
@@ -13,9 +13,9 @@
   readonly bodyBytes: number
   /** The id of the upstream instance that crashed. */
   readonly upstream: string
-  /** `sentAt` and `endedAt` are in milliseconds on this process's clock. */
+  /** `sentAt` and `crashedAt` are in milliseconds on this process's clock. */
   readonly sentAt: number
-  readonly endedAt: number
+  readonly crashedAt: number
 }
 
 /** Crashes after which a request is no longer sent. Each further crash would lose every run in flight at that upstream. */
@@ -36,11 +36,11 @@
  */
 export function countSeparateCrashes (runs: readonly CrashedRun[]): number {
   let count = 0
-  let lastEndedAt = -Infinity
-  for (const run of [...runs].sort((a, b) => a.endedAt - b.endedAt)) {
-    if (run.sentAt < lastEndedAt - CLOCK_TOLERANCE_MS || run.endedAt <= lastEndedAt + CLOCK_TOLERANCE_MS) continue
+  let lastCrashAt = -Infinity
+  for (const run of [...runs].sort((a, b) => a.crashedAt - b.crashedAt)) {
+    if (run.sentAt < lastCrashAt - CLOCK_TOLERANCE_MS || run.crashedAt <= lastCrashAt + CLOCK_TOLERANCE_MS) continue
     count++
-    lastEndedAt = run.endedAt
+    lastCrashAt = run.crashedAt
   }
   return count
 }
--- a/src/services/quarantine/common/quarantineTracker.ts
+++ b/src/services/quarantine/common/quarantineTracker.ts
@@ -51,7 +51,7 @@
   }
 
   addRun (run: CrashedRun): void {
-    if (run.endedAt <= (this._clearedAt.get(run.digest) ?? -Infinity)) return
+    if (run.crashedAt <= (this._clearedAt.get(run.digest) ?? -Infinity)) return
     const known = this._runs.get(run.digest) ?? []
     if (known.some(other => other.upstream === run.upstream)) return
     if (known.length === 0 && this._runs.size >= MAX_DIGESTS) this._evictLeastEvidence()
@@ -64,7 +64,7 @@
     this._clearedAt.set(digest, at)
     if (isServed) this._served.add(digest)
     const runs = this._runs.get(digest)
-    if (runs !== undefined) this._setRuns(digest, runs.filter(run => run.endedAt > at))
+    if (runs !== undefined) this._setRuns(digest, runs.filter(run => run.crashedAt > at))
   }
 
   getCrashRecord (digest: string): CrashRecord {
@@ -77,7 +77,7 @@
       crashCount: countSeparateCrashes(countedRuns),
       isQuarantined,
       upstreams: countedRuns.map(run => run.upstream),
-      lastCrashAt: Math.max(-Infinity, ...countedRuns.map(run => run.endedAt))
+      lastCrashAt: Math.max(-Infinity, ...countedRuns.map(run => run.crashedAt))
     }
   }
 
@@ -87,7 +87,7 @@
 
   /** Removes requests without a recent crash. */
   expire (now: number): void {
-    for (const [digest, runs] of [...this._runs]) if (runs.every(run => now - run.endedAt > EVIDENCE_RETENTION_MS)) this._setRuns(digest, [])
+    for (const [digest, runs] of [...this._runs]) if (runs.every(run => now - run.crashedAt > EVIDENCE_RETENTION_MS)) this._setRuns(digest, [])
     for (const [digest, at] of [...this._clearedAt]) if (now - at > EVIDENCE_RETENTION_MS) this._removeCleared(digest)
   }
 
--- a/src/services/quarantine/node/quarantineService.ts
+++ b/src/services/quarantine/node/quarantineService.ts
@@ -24,7 +24,7 @@
   readonly registry: UpstreamRegistry
   /** This node's address. */
   readonly node: string
-  /** Increases with each start of the host. */
+  /** Increases with each process start on the host. */
   readonly incarnation: number
   readonly probe?: (address: string) => Promise<ProbeResult>
 }
@@ -35,12 +35,12 @@
   /** Set if the probe did not prove a crash. The upstream may crash later, so the next lost connection starts a new probe. */
   canProbeAgain = false
 
-  constructor (readonly endedAt: number, readonly isEnded: Promise<boolean>) {
-    void isEnded.then(value => { this.canProbeAgain = !value })
+  constructor (readonly endedAt: number, readonly crashCheck: Promise<boolean>) {
+    void crashCheck.then(value => { this.canProbeAgain = !value })
   }
 }
 
-/** An upstream whose host does not answer is removed from the list of upstreams within this time after its end. */
+/** An upstream whose host does not answer is removed from the list of upstreams within this time after its crash. */
 const MAX_LIST_DELAY_MS = 6000
 /** Many crashes at once are not caused by a request, and publishing every run would saturate the links between nodes. */
 const MAX_REPORTS_PER_SECOND = 8
@@ -52,7 +52,7 @@
   private readonly _options: QuarantineServiceOptions
   private readonly _tracker = new QuarantineTracker()
   private readonly _lostUpstreams = new Map<string, LostUpstream>()
-  private readonly _endedAtByUpstream = new Map<string, number>()
+  private readonly _crashedAtByUpstream = new Map<string, number>()
   private readonly _reportTimes: number[] = []
   /** Digests of the requests whose quarantine was logged. */
   private _loggedDigests: ReadonlySet<string> = new Set()
@@ -71,9 +71,9 @@
     return this._refusedCount
   }
 
-  /** Whether any node has observed that this upstream instance ended, although it may still be listed. */
+  /** Whether any node has observed that this upstream instance crashed, although it may still be listed. */
   hasEnded (upstream: string): boolean {
-    return this._endedAtByUpstream.has(upstream)
+    return this._crashedAtByUpstream.has(upstream)
   }
 
   getCrashRecord (requestDigest: IRequestDigest): CrashRecord {
@@ -86,9 +86,9 @@
     if (entry === undefined || entry.isLeaving) return false
     const lost = this._getLostUpstream(run)
     lost.runs.push({ digest: run.digest, bodyBytes: run.bodyBytes, sentBeforeMs: Math.max(0, Math.round(lost.endedAt - run.sentAt)) })
-    const isEnded = await lost.isEnded
-    if (isEnded && !this._isDisposed) this._publishEnd(run.upstream, lost)
-    return isEnded
+    const isCrashed = await lost.crashCheck
+    if (isCrashed && !this._isDisposed) this._publishCrash(run.upstream, lost)
+    return isCrashed
   }
 
   recordServed (requestDigest: IRequestDigest): void {
@@ -119,12 +119,12 @@
   private _getLostUpstream (run: LostRun): LostUpstream {
     const known = this._lostUpstreams.get(run.upstream)
     if (known !== undefined && !known.canProbeAgain) return known
-    const lost = new LostUpstream(run.endedAt, this._checkEnded(run))
+    const lost = new LostUpstream(run.endedAt, this._detectCrash(run))
     this._lostUpstreams.set(run.upstream, lost)
     return lost
   }
 
-  private async _checkEnded ({ upstream, address }: LostRun): Promise<boolean> {
+  private async _detectCrash ({ upstream, address }: LostRun): Promise<boolean> {
     const result = await (this._options.probe ?? probeUpstream)(address)
     this._options.log.info('upstream_lost', { upstream, address, connection: result })
     if (result === 'silent' && !this._isDisposed) this._watchRegistry(upstream)
@@ -136,12 +136,12 @@
     const { clock, registry } = this._options
     const watch = this._register(registry.onDidChange(({ kind, entry }) => {
       const lost = this._lostUpstreams.get(upstream)
-      if (kind === 'dropped' && entry.id === upstream && !entry.isLeaving && lost !== undefined) this._publishEnd(upstream, lost)
+      if (kind === 'dropped' && entry.id === upstream && !entry.isLeaving && lost !== undefined) this._publishCrash(upstream, lost)
     }))
     clock.schedule(MAX_LIST_DELAY_MS, () => this._release(watch))
   }
 
-  private _publishEnd (upstream: string, { endedAt, runs }: LostUpstream): void {
+  private _publishCrash (upstream: string, { endedAt, runs }: LostUpstream): void {
     const { clock, facts, log, node, incarnation } = this._options
     const reported = runs.slice(-MAX_REPORTED_RUNS)
     const subject = formatEndedSubject(upstream, node)
@@ -163,15 +163,15 @@
     if (value.kind !== 'ended' && value.kind !== 'cleared') return
     this._scheduleQuarantineLog()
     if (value.kind === 'cleared') return this._tracker.clear(value.digest, observedAt, { isServed: value.isServed })
-    this._endedAtByUpstream.set(value.upstream, observedAt)
+    this._crashedAtByUpstream.set(value.upstream, observedAt)
     for (const { digest, bodyBytes, sentBeforeMs } of value.runs) {
-      this._tracker.addRun({ digest, bodyBytes, upstream: value.upstream, sentAt: observedAt - sentBeforeMs, endedAt: observedAt })
+      this._tracker.addRun({ digest, bodyBytes, upstream: value.upstream, sentAt: observedAt - sentBeforeMs, crashedAt: observedAt })
     }
   }
 
   /**
-   * Facts arrive in batches. The analysis covers all evidence, so it runs once after a batch; a result between two facts of
-   * it may be outdated by the second one.
+   * Facts arrive in batches. The analysis covers all evidence, so it runs once after a batch; a result from a part of the
+   * batch may be outdated by the rest.
    */
   private _scheduleQuarantineLog (): void {
     if (this._isLogScheduled) return
@@ -194,6 +194,6 @@
     const now = this._options.clock.now()
     this._tracker.expire(now)
     for (const [upstream, { endedAt }] of [...this._lostUpstreams]) if (now - endedAt > MAX_LIST_DELAY_MS) this._lostUpstreams.delete(upstream)
-    for (const [upstream, at] of [...this._endedAtByUpstream]) if (now - at > MAX_LIST_DELAY_MS) this._endedAtByUpstream.delete(upstream)
+    for (const [upstream, at] of [...this._crashedAtByUpstream]) if (now - at > MAX_LIST_DELAY_MS) this._crashedAtByUpstream.delete(upstream)
   }
 }
--- a/src/services/quarantine/test/crashEvidence.test.ts
+++ b/src/services/quarantine/test/crashEvidence.test.ts
@@ -7,7 +7,7 @@
 
 /** A run of a request at an upstream; times in seconds. */
 function createRun (digest: string, upstream: string, sentS: number, endedS: number): CrashedRun {
-  return { digest, bodyBytes: 9, upstream, sentAt: sentS * 1000, endedAt: endedS * 1000 }
+  return { digest, bodyBytes: 9, upstream, sentAt: sentS * 1000, crashedAt: endedS * 1000 }
 }
 
 /** Each string lists the requests in flight at one crash, one letter each. Crashes are 1 s apart, and runs take 0.5 s. */
--- a/src/services/quarantine/test/quarantineService.test.ts
+++ b/src/services/quarantine/test/quarantineService.test.ts
@@ -32,15 +32,15 @@
     return this.nodes[index] ?? assert.unreachable('no such node') as never
   }
 
-  /** Ends an upstream while one node has a run of the request in flight there. */
+  /** Crashes an upstream while one node has a run of the request in flight there. */
   async killUpstream (node: number, upstream: string, isLeaving = false): Promise<boolean> {
     const { registry, service } = this.getNode(node)
     registry.update({ id: upstream, role: 'u', address: 'h:1', hall: '', slots: 1, isLeaving }, 'test')
     const sentAt = this.clock.now()
     this.clock.advance(50)
-    const isEnded = await service.recordLostRun({ digest: 'g', bodyBytes: 9, upstream, address: 'h:1', sentAt, endedAt: this.clock.now() })
+    const isCrashed = await service.recordLostRun({ digest: 'g', bodyBytes: 9, upstream, address: 'h:1', sentAt, endedAt: this.clock.now() })
     this.clock.advance(50)
-    return isEnded
+    return isCrashed
   }
 
   /** Waits for the work that is scheduled after a batch of facts. */
--- a/src/services/quarantine/test/quarantineTracker.test.ts
+++ b/src/services/quarantine/test/quarantineTracker.test.ts
@@ -5,7 +5,7 @@
 const test = suite('quarantineTracker')
 
 function createTracker (crashes: number, digest = 'g', tracker = new QuarantineTracker()): QuarantineTracker {
-  for (let index = 0; index < crashes; index++) tracker.addRun({ digest, bodyBytes: 9, upstream: `${digest}${index}`, sentAt: index * 100, endedAt: index * 100 + 50 })
+  for (let index = 0; index < crashes; index++) tracker.addRun({ digest, bodyBytes: 9, upstream: `${digest}${index}`, sentAt: index * 100, crashedAt: index * 100 + 50 })
   return tracker
 }
 
--- a/src/services/upstream/common/upstreamRegistry.ts
+++ b/src/services/upstream/common/upstreamRegistry.ts
@@ -22,7 +22,7 @@
   readonly coldUntil?: number
 }
 
-/** A change of an entry. `signal` names where it was learned. */
+/** A change of an entry. `signal` names its source or cause. */
 export interface UpstreamChange {
   readonly kind: 'added' | 'changed' | 'leaving' | 'dropped'
   readonly entry: UpstreamEntry
--- a/src/services/upstream/node/sendGuard.ts
+++ b/src/services/upstream/node/sendGuard.ts
@@ -9,7 +9,7 @@
 import type { UpstreamRegistry } from '../common/upstreamRegistry.ts'
 
 /** Why a request is not sent to an upstream. */
-export type SendObstacle = 'gone' | 'leaving' | 'evacuated' | 'backingOff'
+export type WithholdReason = 'gone' | 'leaving' | 'evacuated' | 'backingOff'
 
 export interface SendGuardOptions {
   readonly clock: IClock
@@ -37,7 +37,7 @@
    * the first one if a call contains several requests.
    */
   maySend (upstream: string, request: string): boolean {
-    const obstacle = this._findObstacle(upstream)
+    const obstacle = this._findWithholdReason(upstream)
     if (obstacle === undefined) return true
     const { clock, log, registry } = this._options
     const { revision, ageMs } = registry.computeFreshness(clock.now())
@@ -46,7 +46,7 @@
     return false
   }
 
-  private _findObstacle (upstream: string): SendObstacle | undefined {
+  private _findWithholdReason (upstream: string): WithholdReason | undefined {
     const { registry, backoffs } = this._options
     const entry = registry.get(upstream)
     if (entry === undefined) return 'gone'
--- a/src/services/upstream/node/upstreamWatcher.ts
+++ b/src/services/upstream/node/upstreamWatcher.ts
@@ -65,13 +65,13 @@
 
 /** The fact carries the upstream's own incarnation and report number, so any steward may read and publish the report. */
 export function recordReport (facts: FactStore, upstream: string, report: UpstreamReport, now: number): void {
-  const { boot, running, queued, capacity, models, fencing } = report
-  if (report.isLeaving) markLeaving(facts, upstream, boot, 'its own report')
+  const { boot: incarnation, running, queued, capacity, models, fencing } = report
+  if (report.isLeaving) markLeaving(facts, upstream, incarnation, 'its own report')
   if (isUnchanged(facts.get(formatLoadSubject(upstream)), report, now)) return
   const prefixes = report.prefixes.slice(-MAX_PREFIXES)
   facts.merge({
     subject: formatLoadSubject(upstream),
-    incarnation: boot,
+    incarnation,
     counter: report.report,
     value: { kind: 'load', upstream, running, queued, capacity, models, fencing, prefixes },
     ageMs: 0
