--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -12,7 +12,7 @@
   schedule (delayMs: number, run: () => void): IDisposable
 }
 
-/** A clock to which uncounted time can be added. */
+/** A clock to which time that it did not count while the machine was suspended can be added. */
 export interface ISuspendableClock extends IClock {
   /** Adds the time for which the machine was suspended; scheduled functions run that much earlier. */
   addSuspendedTime (ms: number): void
--- a/src/base/test/faultRelay.ts
+++ b/src/base/test/faultRelay.ts
@@ -72,7 +72,7 @@
     }
   }
 
-  /** A socket that is already ending cannot be reset: the process would wait for its end forever. */
+  /** A socket that has already been ended cannot be reset: the process would wait forever for it to close. */
   resetSockets (): void {
     for (const socket of [this._callerSocket, this._targetSocket]) {
       if (socket.writableEnded) socket.destroy()
--- a/src/client/gateDirectory.ts
+++ b/src/client/gateDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Determines which gates to use: asks a gate and caches the answer for the time that the answer gives.
+ * Determines which gates to use: asks a gate and caches the answer for the lifetime that it states.
  */
 import { Agent } from 'node:http'
 import { createClient } from '@connectrpc/connect'
--- a/src/client/pepperwoodClient.ts
+++ b/src/client/pepperwoodClient.ts
@@ -112,9 +112,9 @@
       const cachedSession = opened.unsafeCoerce()
       if (resubmissions > 0) options.onRestart?.()
       const submission = this._createSubmission(cachedSession, options)
-      const end = await this._followSubmission(submission, options, checkpoint, deadlineAt)
-      if (end.kind === 'whole') return Right(this._createAnswer(submission, end, startedAt))
-      lastError = end.error
+      const finalState = await this._followSubmission(submission, options, checkpoint, deadlineAt)
+      if (finalState.kind === 'whole') return Right(this._createAnswer(submission, finalState, startedAt))
+      lastError = finalState.error
       checkpoint = submission.reader.checkpoint ?? checkpoint
       if (lastError.execution !== 'notRun') mayHaveRun = true
       if (!canResubmit({ error: lastError, isUnrepeatable: isUnrepeatable(options, cachedSession), mayHaveRun }) || resubmissions++ >= (this._options.maxResubmissions ?? 2)) break
@@ -135,12 +135,12 @@
     return { cachedSession, number, reader, firstChunk }
   }
 
-  private _createAnswer (submission: Submission, end: WholeState, startedAt: number): WholeAnswer {
+  private _createAnswer (submission: Submission, wholeState: WholeState, startedAt: number): WholeAnswer {
     const { cachedSession, number, reader, firstChunk } = submission
     return {
       requestId: `${cachedSession.session.id}/${number}`,
-      text: end.text,
-      costs: end.costs,
+      text: wholeState.text,
+      costs: wholeState.costs,
       firstChunkMs: firstChunk.at - startedAt,
       elapsedMs: this._clock.now() - startedAt,
       chunkCount: reader.chunkCount
@@ -157,10 +157,10 @@
     const home = submission.cachedSession.session.home
     let wasSent = false
     while (this._clock.now() < deadlineAt + DEADLINE_GRACE_MS && options.signal?.aborted !== true) {
-      const end = await this._submitOnce(submission, options, checkpoint, deadlineAt, () => { wasSent = true })
-      if (end.kind === 'whole') return end
-      if (end.kind === 'refused') return this._processRefusal(submission, end, wasSent)
-      if (end.kind === 'unreachable') {
+      const connectionOutcome = await this._submitOnce(submission, options, checkpoint, deadlineAt, () => { wasSent = true })
+      if (connectionOutcome.kind === 'whole') return connectionOutcome
+      if (connectionOutcome.kind === 'refused') return this._processRefusal(submission, connectionOutcome, wasSent)
+      if (connectionOutcome.kind === 'unreachable') {
         this._abandonGate(home)
         // A request that was never sent can be submitted to another gate; one sent to a lost home gate may have run.
         return createRefusedState(createClientError(wasSent ? 'outcomeUnknown' : 'upstreamUnreachable', `${home} cannot be reached`, wasSent ? 'mayHaveRun' : 'notRun'))
@@ -172,13 +172,13 @@
     return createRefusedState(createClientError(isAborted ? 'cancelled' : 'deadlinePassed', isAborted ? 'cancelled by the caller' : 'the deadline has passed', wasSent ? 'mayHaveRun' : 'notRun'))
   }
 
-  private _processRefusal (submission: Submission, end: RefusedState, wasSent: boolean): RefusedState {
+  private _processRefusal (submission: Submission, refusedState: RefusedState, wasSent: boolean): RefusedState {
     const { session } = submission.cachedSession
-    this._gateDirectory.updateGates(end.gates.map(gate => gate.address))
-    if (end.error.resultName === 'gateDraining' || end.error.resultName === 'sessionUnknown' || end.error.resultName === 'sessionOutdated') this._sessions.delete(session.home)
+    this._gateDirectory.updateGates(refusedState.gates.map(gate => gate.address))
+    if (refusedState.error.resultName === 'gateDraining' || refusedState.error.resultName === 'sessionUnknown' || refusedState.error.resultName === 'sessionOutdated') this._sessions.delete(session.home)
     // A gate without the session cannot have run this submission if it is the first under its number; one sent before may have run.
-    if (end.error.resultName === 'sessionUnknown' && !wasSent) return createRefusedState(createClientError('sessionUnknown', end.error.message, 'notRun'))
-    return end
+    if (refusedState.error.resultName === 'sessionUnknown' && !wasSent) return createRefusedState(createClientError('sessionUnknown', refusedState.error.message, 'notRun'))
+    return refusedState
   }
 
   /** Submits the request over one connection. The gate attaches it to the existing run if it was sent before. */
@@ -204,7 +204,7 @@
         checkpoint,
         seenConfiguration: this._gateDirectory.seenConfiguration
       }, { signal: abort.signal })
-      let end: ConnectionOutcome = { kind: 'broken', reason: 'the stream ended early' }
+      let connectionOutcome: ConnectionOutcome = { kind: 'broken', reason: 'the stream ended early' }
       for await (const event of stream) {
         livenessWatch.reset()
         if (event.event.case === 'accepted') this._gateDirectory.recordConfiguration(event.event.value.configuration)
@@ -212,9 +212,9 @@
         if (state.kind !== 'refused') onSent()
         if (state.kind === 'broken') return state
         // Reads the stream to its end even after the final event, so that the connection can be reused.
-        if (state.kind !== 'open') end = state
+        if (state.kind !== 'open') connectionOutcome = state
       }
-      return end
+      return connectionOutcome
     } catch (thrown) {
       if (isConnectFailure(thrown)) return { kind: 'unreachable' }
       onSent()
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -1,5 +1,5 @@
 /**
- * A gate: tells callers which gates to use, owns requests, runs their stages and streams their answers.
+ * A gate: recommends gates to callers, owns requests, runs their stages and streams their answers.
  */
 import { parseAddress } from '../base/common/address.ts'
 import { DecayingCounter } from '../base/common/decayingCounter.ts'
@@ -52,8 +52,8 @@
 const SESSION_ID_BYTES = 16
 const QUEUE_SWEEP_PERIOD_MS = 20
 const FACT_CLEANUP_PERIOD_MS = 60_000
-/** Decay time of the count of recent requests, by which the load of gates is compared. */
-const RECENT_REQUESTS_MS = 3000
+/** Decay time constant of the count of recent requests, by which the load of gates is compared. */
+const RECENT_REQUESTS_TIME_CONSTANT_MS = 3000
 const ANNOUNCEMENT_CHECK_PERIOD_MS = 250
 /** How often a gate announces itself when its load has not changed. */
 const HEARTBEAT_PERIOD_MS = 1500
@@ -101,7 +101,7 @@
     this._configuration = this._register(new ConfigurationService(clock))
     this._decisions = new DecisionLog(clock)
     this._pauseDetector = new PauseDetector({ clock, getTimeOfDay: Date.now })
-    this._recentRequests = new DecayingCounter(clock, RECENT_REQUESTS_MS)
+    this._recentRequests = new DecayingCounter(clock, RECENT_REQUESTS_TIME_CONSTANT_MS)
     this._sessions = new SessionService({
       clock,
       createId: () => createRandomId(SESSION_ID_BYTES),
@@ -200,7 +200,7 @@
     const adapter = this._register(new HttpUpstreamAdapter({ localAddress: settings.local_ip }))
     const committedWork = new CommittedWork(clock)
     const checkpointSigner = new CheckpointSigner({ key: settings.checkpoint_key, previousKey: settings.previous_checkpoint_key })
-    const stages = new StageRunner({
+    const stageRunner = new StageRunner({
       clock,
       adapter,
       scheduler: this._scheduler,
@@ -224,7 +224,7 @@
       admission: createAdmission(policy),
       committedWork,
       checkpointSigner,
-      runner: new RequestRunner({ clock, stages, committed: committedWork, checkpointSigner, decisions: this._decisions, chunkIntervalMs: settings.chunk_interval_ms }),
+      runner: new RequestRunner({ clock, stageRunner, committedWork, checkpointSigner, decisions: this._decisions, chunkIntervalMs: settings.chunk_interval_ms }),
       decisions: this._decisions,
       isReady: () => this.isReady,
       isDraining: () => this._isDraining,
@@ -360,8 +360,8 @@
 
   explain (requestId: string) {
     const [sessionId = '', number = ''] = requestId.split('/')
-    const end = this._sessions.findRun(sessionId, Number(number)).toMaybe().extractNullable()?.outcome
-    return { decisions: this._decisions.find(requestId), costs: end?.costs ?? [] }
+    const runOutcome = this._sessions.findRun(sessionId, Number(number)).toMaybe().extractNullable()?.outcome
+    return { decisions: this._decisions.find(requestId), costs: runOutcome?.costs ?? [] }
   }
 
   drain () {
--- a/src/gate/gateMetrics.ts
+++ b/src/gate/gateMetrics.ts
@@ -34,13 +34,13 @@
   }
 
   recordRequest (pipeline: string, run: RequestRun, now: number): void {
-    const { outcome: end, customer } = run
-    if (end === undefined) return
-    const result = end.kind === 'whole' ? 'whole' : end.error.resultName
+    const { outcome, customer } = run
+    if (outcome === undefined) return
+    const result = outcome.kind === 'whole' ? 'whole' : outcome.error.resultName
     // Names of unknown pipelines come from callers and must not create label values.
-    const isKnownPipeline = end.kind === 'whole' || end.error.resultName !== 'pipelineUnknown'
+    const isKnownPipeline = outcome.kind === 'whole' || outcome.error.resultName !== 'pipelineUnknown'
     this._requestCounter.inc({ pipeline: isKnownPipeline ? pipeline : '', customer, result })
-    if (end.kind === 'whole') this._requestDurations.observe({ pipeline }, now - run.startedAt)
-    for (const cost of end.costs) this._stageBusyTime.inc({ stage: cost.stage, answered: String(end.kind === 'whole') }, cost.busyMs)
+    if (outcome.kind === 'whole') this._requestDurations.observe({ pipeline }, now - run.startedAt)
+    for (const cost of outcome.costs) this._stageBusyTime.inc({ stage: cost.stage, answered: String(outcome.kind === 'whole') }, cost.busyMs)
   }
 }
--- a/src/gate/gateRequests.ts
+++ b/src/gate/gateRequests.ts
@@ -166,7 +166,7 @@
             isUnrepeatable: request.unrepeatable,
             deadlineAt: clock.now() + timeLeftMs,
             stagesDone,
-            result: checkpoint?.result ?? ''
+            lastStageResult: checkpoint?.result ?? ''
           }
         }
       )
--- a/src/gate/gateSettings.ts
+++ b/src/gate/gateSettings.ts
@@ -37,7 +37,7 @@
   local_ip: Schema.optional(Schema.String),
   /** Stewards to subscribe to, in order of preference. */
   stewards: Schema.NonEmptyArray(AddressText),
-  /** Key that seals checkpoints; the same at all gates. */
+  /** Key that signs checkpoints; the same at all gates. */
   checkpoint_key: Schema.String.pipe(Schema.minLength(16)),
   previous_checkpoint_key: Schema.optional(Schema.String.pipe(Schema.minLength(16))),
   session_lifetime_ms: Schema.optionalWith(PositiveMs, { default: () => 600_000 }),
--- a/src/gate/requestHandlers.ts
+++ b/src/gate/requestHandlers.ts
@@ -25,7 +25,7 @@
   return create(AnswerEventSchema, { event })
 }
 
-/** Results that do not tell whether the request ran: another gate or an earlier submission may have run it. */
+/** Results that do not show whether the request ran: another gate or an earlier submission may have run it. */
 const INCONCLUSIVE_RESULTS: ReadonlySet<string> = new Set(['outcomeForgotten', 'sessionUnknown', 'sessionElsewhere', 'numberReused', 'requestUnknown'])
 
 /** Returns the execution state to report for a request that this gate did not start. */
@@ -62,7 +62,7 @@
       value: error.value,
       execution: EXECUTIONS[execution],
       retryAfterMs,
-      checkpoint: run.checkpoint?.sealed,
+      checkpoint: run.checkpoint?.signedBytes,
       gates: [...gates],
       costs: [...costs]
     }
@@ -82,7 +82,7 @@
       const checkpoint = run.checkpoint
       if (checkpoint !== undefined && checkpoint.stagesDone > stagesDoneSent && run.outcome === undefined) {
         stagesDoneSent = checkpoint.stagesDone
-        yield createEvent({ case: 'checkpoint', value: { sealed: checkpoint.sealed, stagesDone: checkpoint.stagesDone } })
+        yield createEvent({ case: 'checkpoint', value: { sealed: checkpoint.signedBytes, stagesDone: checkpoint.stagesDone } })
       }
       for (; chunkIndex < run.chunks.length; chunkIndex++) {
         yield createEvent({ case: 'chunk', value: { index: chunkIndex, text: run.chunks[chunkIndex] ?? '' } })
--- a/src/gate/test/atMostOnce.test.ts
+++ b/src/gate/test/atMostOnce.test.ts
@@ -64,7 +64,7 @@
       sessions: this.sessions,
       scheduler: harness.scheduler,
       admission: new AdmitAll(),
-      committedWork: harness.committed,
+      committedWork: harness.committedWork,
       checkpointSigner: new CheckpointSigner({ key: 'a key for tests only' }),
       runner: { run: async (plan, run) => { this.runs.push(run); await harness.runner.run(plan, run) } },
       decisions: harness.decisions,
@@ -206,7 +206,7 @@
     if (gate === undefined || submission === undefined) return
     const refused = gate.requests.submit(submission).swap().toMaybe().extractNullable()
     if (refused === null || submission !== request.submissions.at(-1)) return
-    // A gate without the session reports `mayHaveRun`; only the caller can tell that it did not run.
+    // A gate without the session reports `mayHaveRun`; only the caller can determine that it did not run.
     request.claims.push(readRefusal(createRefusal(refused)).execution)
   }
 
--- a/src/services/admission/common/committedWork.ts
+++ b/src/services/admission/common/committedWork.ts
@@ -12,14 +12,14 @@
   readonly count: number
 }
 
-/** The work that an admitted request brings to one role. */
+/** The work that an admitted request adds to one role. */
 export interface WorkItem {
   readonly role: string
   readonly customer: string
   readonly weight: number
   readonly priority: number
   /** Mean duration of its call, in milliseconds. */
-  readonly usualMs: number
+  readonly expectedMs: number
 }
 
 /** Time constant of the exponential decay of the offered load. */
@@ -79,7 +79,7 @@
     this._offeredLoads.set(item.role, loadByPriority)
     const load = loadByPriority.get(item.priority) ?? new DecayingCounter(this._clock, LOAD_TIME_CONSTANT_MS)
     loadByPriority.set(item.priority, load)
-    load.add(item.usualMs)
+    load.add(item.expectedMs)
   }
 
   /** Number of admitted requests that have yet to finish the role. */
--- a/src/services/admission/test/admissionPolicy.test.ts
+++ b/src/services/admission/test/admissionPolicy.test.ts
@@ -11,7 +11,7 @@
 
 function createWork (entries: Readonly<Record<string, number>>, role = 'generate'): CommittedWork {
   const committed = new CommittedWork(new VirtualClock())
-  for (const [customer, count] of Object.entries(entries)) for (let index = 0; index < count; index++) committed.add({ role, customer, weight: 1, priority: 1, usualMs: 0 })
+  for (const [customer, count] of Object.entries(entries)) for (let index = 0; index < count; index++) committed.add({ role, customer, weight: 1, priority: 1, expectedMs: 0 })
   return committed
 }
 
@@ -40,9 +40,9 @@
 test('recent load of higher priority reduces the available slots until it decays', () => {
   const clock = new VirtualClock()
   const committed = new CommittedWork(clock)
-  for (let index = 0; index < 5; index++) committed.add({ role: 'generate', customer: 'other', weight: 1, priority: 2, usualMs: 400 })
+  for (let index = 0; index < 5; index++) committed.add({ role: 'generate', customer: 'other', weight: 1, priority: 2, expectedMs: 400 })
   for (let index = 0; index < 5; index++) committed.remove('generate', 'other', 2)
-  for (let index = 0; index < 2; index++) committed.add({ role: 'generate', customer: 'small', weight: 1, priority: 1, usualMs: 0 })
+  for (let index = 0; index < 2; index++) committed.add({ role: 'generate', customer: 'small', weight: 1, priority: 1, expectedMs: 0 })
   assert.is(decide({}, committed), 'overloaded')
   assert.ok(policy.decide({ ...request, priority: 2 }, committed).isRight())
   clock.advance(10_000)
--- a/src/services/order/node/orderService.ts
+++ b/src/services/order/node/orderService.ts
@@ -26,7 +26,7 @@
   readonly log: ILogService
   /** Upstreams that this process currently manages. */
   readonly listManagedUpstreams: () => readonly Upstream[]
-  /** Whether this process currently receives from a majority of the stewards it knows. */
+  /** Whether this process currently regards a majority of the stewards in its membership table as alive. */
   readonly hasMajority: () => boolean
   readonly periodMs?: number
 }
--- a/src/services/pipeline/common/requestPlan.ts
+++ b/src/services/pipeline/common/requestPlan.ts
@@ -16,9 +16,10 @@
   readonly isUnrepeatable: boolean
   /** On this process's clock, in milliseconds. */
   readonly deadlineAt: number
-  /** Stages that an earlier run finished, as stated by its checkpoint. The result is that of the last of these stages. */
+  /** Number of stages that an earlier run finished, as stated by its checkpoint; 0 without a checkpoint. */
   readonly stagesDone: number
-  readonly result: string
+  /** The result of the last of these stages; empty if there is none. */
+  readonly lastStageResult: string
 }
 
 /** Number of leading characters in which prompts must agree to count as sharing a cached prefix. */
--- a/src/services/pipeline/node/requestRunner.ts
+++ b/src/services/pipeline/node/requestRunner.ts
@@ -23,8 +23,8 @@
 
 export interface RequestRunnerOptions {
   readonly clock: IClock
-  readonly stages: StageRunner
-  readonly committed: CommittedWork
+  readonly stageRunner: StageRunner
+  readonly committedWork: CommittedWork
   readonly checkpointSigner: CheckpointSigner
   readonly decisions: DecisionLog
   /** Text received within this time after the last chunk is collected into one chunk. */
@@ -41,7 +41,7 @@
 
   async run (plan: RequestPlan, run: RequestRun): Promise<void> {
     const unfinishedRoles = plan.pipeline.stages.slice(plan.stagesDone).map(stage => stage.role)
-    this._addCommitted(plan)
+    this._addCommittedWork(plan)
     const program = this._runStages(plan, run, unfinishedRoles).pipe(
       Effect.timeoutFail({
         duration: Math.max(0, plan.deadlineAt - this._options.clock.now()),
@@ -50,28 +50,28 @@
       Effect.withClock(createEffectClock(this._options.clock))
     )
     const exit = await Effect.runPromiseExit(program, { signal: run.abortController.signal })
-    for (const role of unfinishedRoles) this._options.committed.remove(role, plan.customer, plan.pipeline.priority)
+    for (const role of unfinishedRoles) this._options.committedWork.remove(role, plan.customer, plan.pipeline.priority)
     this._finishRun(run, exit)
   }
 
-  private _addCommitted (plan: RequestPlan): void {
+  private _addCommittedWork (plan: RequestPlan): void {
     const { customer, customerWeight: weight, pipeline } = plan
     for (const stage of pipeline.stages.slice(plan.stagesDone)) {
-      const usualMs = this._options.stages.getTypicalLatencyMs(formatStageKey(pipeline, stage))
-      this._options.committed.add({ role: stage.role, customer, weight, priority: pipeline.priority, usualMs })
+      const expectedMs = this._options.stageRunner.getMeanLatencyMs(formatStageKey(pipeline, stage))
+      this._options.committedWork.add({ role: stage.role, customer, weight, priority: pipeline.priority, expectedMs })
     }
   }
 
   private _runStages (plan: RequestPlan, run: RequestRun, unfinishedRoles: string[]): Effect.Effect<void, StageFailure> {
     return Effect.gen(this, function * () {
-      let previous = plan.result
+      let previous = plan.lastStageResult
       const chunks = new ChunkBuffer(this._options.clock, this._options.chunkIntervalMs ?? 0, text => run.addChunk(text))
       const stages = plan.pipeline.stages
       for (let stageIndex = plan.stagesDone; stageIndex < stages.length; stageIndex++) {
         const stage = stages[stageIndex]
         if (stage === undefined) return
         const isLast = stageIndex === stages.length - 1
-        previous = yield * this._options.stages.run({
+        previous = yield * this._options.stageRunner.run({
           plan,
           run,
           stage,
@@ -81,7 +81,7 @@
         })
         if (isLast) chunks.flush()
         unfinishedRoles.shift()
-        this._options.committed.remove(stage.role, plan.customer, plan.pipeline.priority)
+        this._options.committedWork.remove(stage.role, plan.customer, plan.pipeline.priority)
         if (!isLast) this._publishCheckpoint(plan, run, stageIndex + 1, previous)
       }
     })
@@ -91,7 +91,7 @@
   private _publishCheckpoint (plan: RequestPlan, run: RequestRun, stagesDone: number, result: string): void {
     const stages = plan.pipeline.stages
     if (stages.some(stage => isStageUnrepeatable(plan, stage))) return
-    const sealed = this._options.checkpointSigner.sign({
+    const signedBytes = this._options.checkpointSigner.sign({
       customer: plan.customer,
       pipeline: plan.pipeline.name,
       stages: stages.map(stage => stage.name),
@@ -99,7 +99,7 @@
       stagesDone,
       result
     })
-    if (sealed !== undefined) run.setCheckpoint({ sealed, stagesDone })
+    if (signedBytes !== undefined) run.setCheckpoint({ signedBytes, stagesDone })
   }
 
   private _finishRun (run: RequestRun, exit: Exit.Exit<void, StageFailure>): void {
--- a/src/services/pipeline/node/stageRunner.ts
+++ b/src/services/pipeline/node/stageRunner.ts
@@ -67,7 +67,7 @@
   constructor (private readonly _options: StageRunnerOptions) {}
 
   /** Returns the average latency of the stage over all requests. */
-  getTypicalLatencyMs (stageKey: string): number {
+  getMeanLatencyMs (stageKey: string): number {
     return this._options.scheduler.latencies.getMeanMs(stageKey)
   }
 
--- a/src/services/pipeline/test/fakes.ts
+++ b/src/services/pipeline/test/fakes.ts
@@ -143,14 +143,14 @@
     onDidReportLeaving: upstream => { leaving.push(upstream) },
     onDidEndAttempt: () => {}
   })
-  const committed = new CommittedWork(clock)
-  const runner = new RequestRunner({ clock, stages: stageRunner, committed, checkpointSigner: new CheckpointSigner({ key: 'a key for tests only' }), decisions })
+  const committedWork = new CommittedWork(clock)
+  const runner = new RequestRunner({ clock, stageRunner, committedWork, checkpointSigner: new CheckpointSigner({ key: 'a key for tests only' }), decisions })
   const pipeline: Pipeline = create(PipelineSchema, {
     name: 'p',
     deadlineMs: 1000,
     stages: stages.map(stage => ({ name: stage.role, role: stage.role, unrepeatable: stage.unrepeatable ?? false }))
   })
-  return { clock, adapter, scheduler, decisions, leaving, pause, committed, runner, pipeline }
+  return { clock, adapter, scheduler, decisions, leaving, pause, committedWork, runner, pipeline }
 }
 
 export type Harness = ReturnType<typeof createHarness>
@@ -172,7 +172,7 @@
     isUnrepeatable,
     deadlineAt: harness.clock.now() + deadlineMs,
     stagesDone: 0,
-    result: ''
+    lastStageResult: ''
   }
   return { run, done: harness.runner.run(plan, run) }
 }
--- a/src/services/pipeline/test/requestRunner.test.ts
+++ b/src/services/pipeline/test/requestRunner.test.ts
@@ -78,7 +78,7 @@
       const stage = testCase.stages.findIndex(found => found.role === role)
       assert.is(harness.adapter.ran.filter(attempt => attempt.split('/')[2] === String(stage)).length, count, `${role} ran`)
     }
-    assert.is(harness.committed.countForRole('encode'), 0)
+    assert.is(harness.committedWork.countForRole('encode'), 0)
   })
 }
 
--- a/src/services/routing/common/router.ts
+++ b/src/services/routing/common/router.ts
@@ -38,7 +38,7 @@
   readonly prefixGain?: number
   /** Added cost of a candidate in another hall, in milliseconds. */
   readonly hallPenaltyMs?: number
-  /** Slowdown of a call in a full batch, as a fraction of its usual duration; proportionally less in a partly filled batch. */
+  /** Slowdown of a call in a full batch, as a fraction of its expected duration; proportionally less in a partly filled batch. */
   readonly batchSlowdown?: number
 }
 
--- a/src/services/scheduling/common/upstreamScheduler.ts
+++ b/src/services/scheduling/common/upstreamScheduler.ts
@@ -72,7 +72,7 @@
   readonly latencies = new LatencyTracker()
   readonly prefixCaches = new PrefixCacheTracker()
   private readonly _pool: UpstreamPool
-  private readonly _roles = new Map<string, RoleQueue>()
+  private readonly _roleQueues = new Map<string, RoleQueue>()
 
   constructor (private readonly _options: UpstreamSchedulerOptions) {
     this._pool = new UpstreamPool({ ..._options, latencies: this.latencies, prefixCaches: this.prefixCaches })
@@ -80,17 +80,17 @@
 
   /** Requests an upstream. The listener is called exactly once, possibly synchronously, unless the ticket is withdrawn first. */
   acquire (ticket: StageTicket, listener: SlotListener): void {
-    const role = this._getRole(ticket.role)
-    role.queue.add(ticket)
-    role.listeners.set(ticket, listener)
+    const roleQueue = this._getRoleQueue(ticket.role)
+    roleQueue.queue.add(ticket)
+    roleQueue.listeners.set(ticket, listener)
     this._dispatch(ticket.role)
   }
 
   /** Removes a queued ticket; its listener is not called. */
   withdraw (ticket: StageTicket): void {
-    const role = this._getRole(ticket.role)
-    role.queue.remove(ticket)
-    role.listeners.delete(ticket)
+    const roleQueue = this._getRoleQueue(ticket.role)
+    roleQueue.queue.remove(ticket)
+    roleQueue.listeners.delete(ticket)
   }
 
   /** Frees the slot and records the outcome of its call; a second release of the same slot has no effect. */
@@ -99,7 +99,7 @@
     const name = slot.view.upstream.name
     const state = this._pool.getState(name)
     const inFlight = state.inFlight
-    if (state.end(slot, now) === undefined) return
+    if (state.endCall(slot, now) === undefined) return
     const signal = LIMIT_SIGNALS[result.kind]
     if (signal !== undefined) state.limiter.record(signal, inFlight)
     if (result.kind === 'answered') this._recordAnswer(slot, result, now)
@@ -110,7 +110,7 @@
 
   /** Assigns free slots to queued tickets and, if configured, refuses those that can no longer meet their deadline. */
   sweep (): void {
-    for (const [role, { queue }] of this._roles) if (queue.size > 0) this._dispatch(role)
+    for (const [role, { queue }] of this._roleQueues) if (queue.size > 0) this._dispatch(role)
   }
 
   /** Number of calls that this gate may have open at the usable upstreams of a role; may be fractional. */
@@ -119,7 +119,7 @@
   }
 
   countWaiting (role: string): number {
-    return this._roles.get(role)?.queue.size ?? 0
+    return this._roleQueues.get(role)?.queue.size ?? 0
   }
 
   /** State of each upstream that was called or considered, for the process dump. */
@@ -134,24 +134,24 @@
   }
 
   private _dispatch (roleName: string): void {
-    const role = this._getRole(roleName)
-    if (this._options.dropsInfeasible) this._dropInfeasible(role)
+    const roleQueue = this._getRoleQueue(roleName)
+    if (this._options.dropsInfeasible) this._dropInfeasible(roleQueue)
     const blockedModels = new Set<string>()
-    for (const ticket of role.queue.list()) {
+    for (const ticket of roleQueue.queue.list()) {
       if (blockedModels.has(ticket.model) && ticket.triedUpstreams.size === 0) continue
       const outcome = this._tryAssign(ticket)
       if (outcome === 'wait') blockedModels.add(ticket.model)
-      else this._resolveTicket(role, ticket, outcome)
+      else this._resolveTicket(roleQueue, ticket, outcome)
     }
   }
 
-  private _resolveTicket (role: RoleQueue, ticket: StageTicket, outcome: StageSlot | PepperwoodError): void {
-    const listener = role.listeners.get(ticket)
-    role.queue.remove(ticket)
-    role.listeners.delete(ticket)
+  private _resolveTicket (roleQueue: RoleQueue, ticket: StageTicket, outcome: StageSlot | PepperwoodError): void {
+    const listener = roleQueue.listeners.get(ticket)
+    roleQueue.queue.remove(ticket)
+    roleQueue.listeners.delete(ticket)
     if (outcome instanceof PepperwoodError) return listener?.onRefused(outcome)
-    role.queue.recordServed(ticket, Math.max(MIN_SERVED_COST_MS, this.latencies.getMeanMs(ticket.stageKey)))
-    this._pool.getState(outcome.view.upstream.name).start(outcome, outcome.startedAt)
+    roleQueue.queue.recordServed(ticket, Math.max(MIN_SERVED_COST_MS, this.latencies.getMeanMs(ticket.stageKey)))
+    this._pool.getState(outcome.view.upstream.name).startCall(outcome, outcome.startedAt)
     listener?.onGranted(outcome)
   }
 
@@ -169,19 +169,19 @@
     return { ticket, view, reason: `${choice.reason}, report ${Math.round(choice.candidate.reportAgeMs)} ms old`, startedAt: clock.now() }
   }
 
-  private _dropInfeasible (role: RoleQueue): void {
+  private _dropInfeasible (roleQueue: RoleQueue): void {
     const now = this._options.clock.now()
-    for (const ticket of role.listeners.keys()) {
+    for (const ticket of roleQueue.listeners.keys()) {
       if (ticket.deadlineAt - now > this.latencies.getLowMs(ticket.stageKey)) continue
-      this._resolveTicket(role, ticket, new PepperwoodError({ name: 'deadlinePassed', message: 'the stage cannot finish before the deadline', place: ticket.stageKey }))
+      this._resolveTicket(roleQueue, ticket, new PepperwoodError({ name: 'deadlinePassed', message: 'the stage cannot finish before the deadline', place: ticket.stageKey }))
     }
   }
 
-  private _getRole (role: string): RoleQueue {
-    let found = this._roles.get(role)
+  private _getRoleQueue (role: string): RoleQueue {
+    let found = this._roleQueues.get(role)
     if (found === undefined) {
       found = { queue: this._options.createQueue(), listeners: new Map() }
-      this._roles.set(role, found)
+      this._roleQueues.set(role, found)
     }
     return found
   }
--- a/src/services/scheduling/common/upstreamState.ts
+++ b/src/services/scheduling/common/upstreamState.ts
@@ -1,5 +1,5 @@
 /**
- * What one gate knows about an upstream from its own calls.
+ * The state of an upstream that one gate tracks from its own calls.
  */
 import type { HealthTracker } from '../../health/common/healthTracker.ts'
 import type { ConcurrencyLimiter, LimiterInputs } from '../../limits/common/concurrencyLimiter.ts'
@@ -25,12 +25,12 @@
     return this._openCalls.size
   }
 
-  start (call: object, now: number): void {
+  startCall (call: object, now: number): void {
     this._openCalls.set(call, now)
   }
 
   /** Returns when the call was started, or undefined if it had already ended. */
-  end (call: object, now: number): number | undefined {
+  endCall (call: object, now: number): number | undefined {
     const startedAt = this._openCalls.get(call)
     if (startedAt === undefined) return undefined
     this._openCalls.delete(call)
@@ -44,7 +44,7 @@
     return count
   }
 
-  /** Counts the calls that were open at the given time and have ended since; at most the last 128 ended calls are known. */
+  /** Counts the calls that were open at the given time and have ended since; at most the last 128 ended calls are tracked. */
   countEndedSince (at: number): number {
     return this._endedCalls.filter(call => call.startedAt <= at && call.endedAt > at).length
   }
@@ -53,16 +53,16 @@
   computeCallLimit (view: UpstreamView, liveGateCount: number, now: number, isPreferred: boolean): number {
     this.limiter.updateCapacity(getCapacity(view), liveGateCount)
     if (this.health.getState(now) === 'probing') return 1
-    return this.limiter.computeAllowedCalls({ ...this._createRoomInputs(view, liveGateCount), isPreferred })
+    return this.limiter.computeAllowedCalls({ ...this._createLimiterInputs(view, liveGateCount), isPreferred })
   }
 
   /** This gate's share of the upstream, in calls; may be fractional. */
   computeShare (view: UpstreamView, liveGateCount: number): number {
     this.limiter.updateCapacity(getCapacity(view), liveGateCount)
-    return this.limiter.computeShare(this._createRoomInputs(view, liveGateCount))
+    return this.limiter.computeShare(this._createLimiterInputs(view, liveGateCount))
   }
 
-  private _createRoomInputs (view: UpstreamView, liveGateCount: number): LimiterInputs {
+  private _createLimiterInputs (view: UpstreamView, liveGateCount: number): LimiterInputs {
     return { inFlight: this.inFlight, backlog: estimateBacklog(this.describeBacklog(view), liveGateCount) }
   }
 
--- a/src/services/session/common/requestRun.ts
+++ b/src/services/session/common/requestRun.ts
@@ -30,9 +30,9 @@
 
 export type RunOutcome = WholeOutcome | RefusedOutcome
 
-export interface SealedCheckpoint {
-  /** The signed checkpoint, as sent to the caller. */
-  readonly sealed: Uint8Array
+export interface SignedCheckpoint {
+  /** The checkpoint with its signature, as sent to the caller. */
+  readonly signedBytes: Uint8Array
   readonly stagesDone: number
 }
 
@@ -54,7 +54,7 @@
   readonly attemptLog = new AttemptLog()
   readonly abortController = new AbortController()
   private readonly _chunks: string[] = []
-  private _checkpoint: SealedCheckpoint | undefined
+  private _checkpoint: SignedCheckpoint | undefined
   private _outcome: RunOutcome | undefined
   private _answerSize = 0
   private readonly _onDidChange = new Emitter<void>()
@@ -72,7 +72,7 @@
     return this._chunks
   }
 
-  get checkpoint (): SealedCheckpoint | undefined {
+  get checkpoint (): SignedCheckpoint | undefined {
     return this._checkpoint
   }
 
@@ -82,7 +82,7 @@
 
   /** Size of the answer in UTF-16 code units, plus the size of the checkpoint in bytes. */
   get size (): number {
-    return this._answerSize + (this._checkpoint?.sealed.length ?? 0)
+    return this._answerSize + (this._checkpoint?.signedBytes.length ?? 0)
   }
 
   /** Adds a chunk. Chunks that arrive after the run has finished are discarded. */
@@ -93,7 +93,7 @@
     this._onDidChange.fire()
   }
 
-  setCheckpoint (checkpoint: SealedCheckpoint): void {
+  setCheckpoint (checkpoint: SignedCheckpoint): void {
     if (this._outcome !== undefined) return
     this._checkpoint = checkpoint
     this._onDidChange.fire()
--- a/src/services/session/test/checkpointSigner.test.ts
+++ b/src/services/session/test/checkpointSigner.test.ts
@@ -6,7 +6,7 @@
 const KEY = 'a key of some length'
 const expected = { customer: 'c', pipeline: 'p', stages: ['a', 'b', 'c'], contentDigest: 'd' }
 const content: CheckpointContent = { ...expected, stagesDone: 2, result: 'text' }
-const test = suite('checkpointSeal')
+const test = suite('checkpointSigner')
 
 function signCheckpoint (options: Partial<CheckpointContent> = {}, key = KEY): Uint8Array {
   return new CheckpointSigner({ key }).sign({ ...content, ...options }) ?? new Uint8Array()
