--- a/src/load/lab/labRun.ts
+++ b/src/load/lab/labRun.ts
@@ -1,6 +1,6 @@
 /**
  * Runs the production planner of pieces in virtual time against simulated upstreams and callers. A caller retries once
- * after a refusal and gives up at its deadline.
+ * after a refusal and aborts at its deadline.
  */
 import { SeededRandom } from '../../base/common/random.ts'
 import type { IRandom } from '../../base/common/random.ts'
--- a/src/load/lab/labScore.ts
+++ b/src/load/lab/labScore.ts
@@ -47,9 +47,9 @@
 /** The share of a request's credit that is deducted for a second refusal. */
 const SECOND_REFUSAL_SHARE = 0.3
 /** An unanswered wait costs nothing up to this share of the goal. */
-const HOLD_FREE_GOAL_SHARE = 1 / 8
+const WAIT_FREE_GOAL_SHARE = 1 / 8
 /** An unanswered wait costs the request's full credit from this share of the deadline on. */
-const HOLD_FULL_DEADLINE_SHARE = 0.75
+const WAIT_FULL_DEADLINE_SHARE = 0.75
 const BYTES_PER_GB = 1e9
 const MS_PER_S = 1000
 
@@ -63,10 +63,10 @@
   return maxCredit === 0 ? 1 : outcomes.reduce((sum, outcome) => sum + computeCredit(outcome), 0) / maxCredit
 }
 
-function computeHoldPenalty (outcome: LabOutcome): number {
+function computeWaitPenalty (outcome: LabOutcome): number {
   if (outcome.answeredAt !== undefined) return 0
-  const freeMs = outcome.kind.goalMs * HOLD_FREE_GOAL_SHARE
-  const fullMs = outcome.kind.deadlineMs * HOLD_FULL_DEADLINE_SHARE
+  const freeMs = outcome.kind.goalMs * WAIT_FREE_GOAL_SHARE
+  const fullMs = outcome.kind.deadlineMs * WAIT_FULL_DEADLINE_SHARE
   return outcome.kind.credit * Math.min(1, Math.max(0, (outcome.unansweredMs - freeMs) / (fullMs - freeMs)))
 }
 
@@ -86,7 +86,7 @@
   const wastedShare = costs.wastedMs / MS_PER_S * WASTED_CREDIT_PER_S / maxCredit
   const movedShare = costs.movedBytes / BYTES_PER_GB * MOVED_CREDIT_PER_GB / maxCredit
   const refusedShare = outcomes.reduce((sum, outcome) => sum + (outcome.answeredAt === undefined && outcome.refusals > 1 ? outcome.kind.credit : 0), 0) * SECOND_REFUSAL_SHARE / maxCredit
-  const heldShare = outcomes.reduce((sum, outcome) => sum + computeHoldPenalty(outcome), 0) / maxCredit
+  const heldShare = outcomes.reduce((sum, outcome) => sum + computeWaitPenalty(outcome), 0) / maxCredit
   const worstSpans = (worstShare + secondWorstShare) / 2
   const value = WEIGHTS.whole * whole + WEIGHTS.spans * worstSpans + WEIGHTS.kind * worstKind - wastedShare - movedShare - refusedShare - heldShare
   return { value, whole, worstSpans, worstKind, byKind, refusedShare, wastedShare, movedShare, heldShare, piecesPerCall: costs.pieces / Math.max(1, costs.calls), noRoom: costs.noRoom }
--- a/src/load/runCommand.ts
+++ b/src/load/runCommand.ts
@@ -19,7 +19,7 @@
 import { ScenarioSchema, STEADY_SCENARIO } from './scenario.ts'
 import type { Scenario } from './scenario.ts'
 
-const NETWORKS = 200
+const LOOPBACK_NETWORK_COUNT = 200
 
 export function loadProfile (file: string): LoadProfile {
   return loadSettings(file, LoadProfileSchema).ifLeft(error => exitWith(error, exitCodes.usage)).unsafeCoerce()
@@ -40,7 +40,7 @@
 
 /** Chooses the second octet of the loopback addresses by process id, so that concurrent fleets are unlikely to share it. */
 export function chooseNetwork (): number {
-  return 1 + process.pid % NETWORKS
+  return 1 + process.pid % LOOPBACK_NETWORK_COUNT
 }
 
 export const runCommand = defineCommand({
--- a/src/standin/batchingEngine.ts
+++ b/src/standin/batchingEngine.ts
@@ -36,9 +36,9 @@
   hasEnded = false
   listener: GenerationListener | undefined
 
-  constructor (readonly request: GenerationRequest, public remainingPrefillMs: number, readonly cachedTokens: number, reader: GenerationListener) {
+  constructor (readonly request: GenerationRequest, public remainingPrefillMs: number, readonly cachedTokens: number, listener: GenerationListener) {
     this.tokenCount = readTokenCount(request.input)
-    this.listener = reader
+    this.listener = listener
   }
 }
 
