--- a/src/load/lab/labDeployment.ts
+++ b/src/load/lab/labDeployment.ts
@@ -4,7 +4,7 @@
  */
 import { drawBetween, drawInteger, SeededRandom } from '../../base/common/random.ts'
 import type { IRandom } from '../../base/common/random.ts'
-import { computePieceCost } from '../../services/preparation/common/pieceUpstream.ts'
+import { computeMsPerPiece } from '../../services/preparation/common/pieceUpstream.ts'
 import type { PieceWorkSpec } from '../../services/preparation/common/pieceUpstream.ts'
 
 export interface LabUpstream {
@@ -121,7 +121,7 @@
   const work = roleUpstreams[0]?.work
   if (work === undefined) return 0
   const pieces = kinds.reduce((sum, kind) => sum + kind.requestsPerSecond * kind.stages.filter(stage => stage.role === role).reduce((count, stage) => count + stage.meanPieces * stage.share, 0), 0)
-  return pieces * computePieceCost(work) / MS_PER_S / roleUpstreams.length
+  return pieces * computeMsPerPiece(work) / MS_PER_S / roleUpstreams.length
 }
 
 /** The same seed always gives the same deployment. */
--- a/src/services/preparation/common/hallLoads.ts
+++ b/src/services/preparation/common/hallLoads.ts
@@ -2,7 +2,7 @@
  * Estimates queueing times by hall, and chooses the hall for the chain of stages of a job.
  */
 import type { JobState, StagePlacement } from './jobState.ts'
-import { computePieceCost } from './pieceUpstream.ts'
+import { computeMsPerPiece } from './pieceUpstream.ts'
 import type { PieceUpstream, PieceWorkSpec } from './pieceUpstream.ts'
 
 /** Added to the queueing time of a hall that has no upstream for a role of the chain. */
@@ -23,7 +23,7 @@
       const work = this._workSpecs.get(role)
       if (work === undefined) continue
       for (const [hall, calls] of this._countCalls(role, now)) {
-        const waitMs = this._countOpenPieces(role, hall) * computePieceCost(work) / calls
+        const waitMs = this._countOpenPieces(role, hall) * computeMsPerPiece(work) / calls
         waitsMs.set(hall, Math.max(waitsMs.get(hall) ?? 0, waitMs))
       }
     }
--- a/src/services/preparation/common/pieceUpstream.ts
+++ b/src/services/preparation/common/pieceUpstream.ts
@@ -141,6 +141,6 @@
 }
 
 /** Returns the nominal duration per piece when calls are full. */
-export function computePieceCost (work: PieceWorkSpec): number {
+export function computeMsPerPiece (work: PieceWorkSpec): number {
   return work.callMs / work.maxPiecesPerCall + work.pieceMs
 }
--- a/src/services/preparation/common/pieceUpstreams.ts
+++ b/src/services/preparation/common/pieceUpstreams.ts
@@ -3,7 +3,7 @@
  */
 import type { RoleCapacity } from './jobForecast.ts'
 import { RoleRate } from './roleRate.ts'
-import { computeCallMs, computePieceCost } from './pieceUpstream.ts'
+import { computeCallMs, computeMsPerPiece } from './pieceUpstream.ts'
 import type { PieceUpstream } from './pieceUpstream.ts'
 
 /** Slowness above which an upstream is used only if the others would take longer. */
@@ -53,7 +53,7 @@
       if (other.role === upstream.role && other.isUsable(now) && other.getSlowness(now) <= MAX_SLOWNESS) normalSpeedCalls += other.work.concurrentCalls
     }
     if (normalSpeedCalls === 0) return true
-    const waitMs = waiting * computePieceCost(work) / normalSpeedCalls
+    const waitMs = waiting * computeMsPerPiece(work) / normalSpeedCalls
     return waitMs + computeCallMs(work, 1) > slowness * computeCallMs(work, Math.min(waiting, work.maxPiecesPerCall))
   }
 
--- a/src/services/preparation/common/roleRate.ts
+++ b/src/services/preparation/common/roleRate.ts
@@ -2,7 +2,7 @@
  * Measures the throughput of the upstreams of one role during a backlog. The nominal throughput from the configuration is
  * a third higher than what is reached in practice: calls are not full, result capacity is limited, and pieces wait for their hall.
  */
-import { computeCallMs, computePieceCost } from './pieceUpstream.ts'
+import { computeCallMs, computeMsPerPiece } from './pieceUpstream.ts'
 import type { PieceWorkSpec } from './pieceUpstream.ts'
 
 /** Half-life of observations, in view of bursts that last a few seconds. */
@@ -41,7 +41,7 @@
   /** Returns the throughput in pieces per millisecond during a backlog. */
   computePiecesPerMs (work: PieceWorkSpec, calls: number, now: number): number {
     this._advance(now)
-    const nominalPiecesPerMs = calls / computePieceCost(work)
+    const nominalPiecesPerMs = calls / computeMsPerPiece(work)
     return (this._completedPieces + nominalPiecesPerMs * PRIOR_MS) / (this._backlogMs + PRIOR_MS)
   }
 
