--- a/src/entryNode/entryNode.ts
+++ b/src/entryNode/entryNode.ts
@@ -216,7 +216,7 @@
         agent,
         upstreamProtocol: options.upstreamProtocol,
         registry: this._registry,
-        pool: new RelayPool({ clock, registry: this._registry, router: new AffinityRouter({ random }), createHealth: () => new EjectingTracker(), countNodes: () => this.countNodes(), hasTerminated: id => this._quarantine.hasEnded(id), quota: this._quota.service, backoffs }),
+        pool: new RelayPool({ clock, registry: this._registry, router: new AffinityRouter({ random }), createHealth: () => new EjectingTracker(), countNodes: () => this.countNodes(), hasTerminated: id => this._quarantine.hasCrashed(id), quota: this._quota.service, backoffs }),
         guard,
         backoffs,
         recordStatements: batch => this._statements.recordStatements(batch),
--- a/src/services/quarantine/node/quarantineService.ts
+++ b/src/services/quarantine/node/quarantineService.ts
@@ -72,7 +72,7 @@
   }
 
   /** Whether any node has observed that this upstream instance crashed, although it may still be listed. */
-  hasEnded (upstream: string): boolean {
+  hasCrashed (upstream: string): boolean {
     return this._crashedAtByUpstream.has(upstream)
   }
 
--- a/src/services/quarantine/test/quarantineService.test.ts
+++ b/src/services/quarantine/test/quarantineService.test.ts
@@ -76,7 +76,7 @@
     const record = service.getCrashRecord(REQUEST_DIGEST)
     assert.ok(record.isQuarantined)
     assert.equal([...record.upstreams].sort(), ['u1', 'u2', 'u3'])
-    assert.ok(service.hasEnded('u2'))
+    assert.ok(service.hasCrashed('u2'))
   }
   await fleet.flush()
   assert.is(fleet.lines.filter(line => line.includes('event=quarantine_began digest=g ends=3')).length, 2)
--- a/src/services/relay/test/fakes.ts
+++ b/src/services/relay/test/fakes.ts
@@ -213,7 +213,7 @@
         agent,
         upstreamProtocol: _options.protocols?.upstream ?? new FakeUpstreamProtocol(),
         registry: this.registry,
-        pool: new RelayPool({ clock, registry: this.registry, router: new RoundRobinRouter(), createHealth: () => new AlwaysHealthyTracker(), countNodes: () => 1, hasTerminated: id => quarantine.hasEnded(id), quota, backoffs }),
+        pool: new RelayPool({ clock, registry: this.registry, router: new RoundRobinRouter(), createHealth: () => new AlwaysHealthyTracker(), countNodes: () => 1, hasTerminated: id => quarantine.hasCrashed(id), quota, backoffs }),
         guard,
         backoffs,
         recordStatements: stated => statements.recordStatements(stated),
