--- a/src/gate/gateRequests.ts
+++ b/src/gate/gateRequests.ts
@@ -177,8 +177,8 @@
     const { scheduler } = this._options
     return pipeline.stages.slice(stagesDone).map(stage => ({
       role: stage.role,
-      usualMs: scheduler.latencies.getMeanMs(formatStageKey(pipeline, stage)),
-      slots: scheduler.countSlots(stage.role)
+      expectedMs: scheduler.latencies.getMeanMs(formatStageKey(pipeline, stage)),
+      slotCount: scheduler.countSlots(stage.role)
     }))
   }
 
--- a/src/load/decisionBench.ts
+++ b/src/load/decisionBench.ts
@@ -49,7 +49,7 @@
   const committed = new CommittedWork(clock)
   const openSlots: StageSlot[] = []
   const decide = (index: number) => {
-    admission.decide({ customer: 'c', customerWeight: 1, timeLeftMs: 4000, priority: 1, stages: [{ role: 'generate', usualMs: scheduler.latencies.getMeanMs('p/generate'), slots: scheduler.countSlots('generate') }] }, committed)
+    admission.decide({ customer: 'c', customerWeight: 1, timeLeftMs: 4000, priority: 1, stages: [{ role: 'generate', expectedMs: scheduler.latencies.getMeanMs('p/generate'), slotCount: scheduler.countSlots('generate') }] }, committed)
     scheduler.acquire({ requestId: '', customer: 'c', customerWeight: 1, priority: 1, deadlineAt: clock.now() + 4000, role: 'generate', stageKey: 'p/generate', model: 'm', prefixKey: `k${index % PREFIX_COUNT}`, triedUpstreams: new Set() }, { onGranted: slot => openSlots.push(slot), onRefused: () => {} })
   }
   const times = build({ highestTrackableValue: 1e9 })
--- a/src/services/admission/common/admissionPolicy.ts
+++ b/src/services/admission/common/admissionPolicy.ts
@@ -11,9 +11,9 @@
 export interface StageForecast {
   readonly role: string
   /** Mean duration of calls of this stage, in milliseconds. */
-  readonly usualMs: number
+  readonly expectedMs: number
   /** Number of calls that this gate may have open for the role. */
-  readonly slots: number
+  readonly slotCount: number
 }
 
 export interface AdmissionRequest {
@@ -64,7 +64,7 @@
   }
 
   decide (request: AdmissionRequest, committed: CommittedWork): Either<AdmissionRefusal, AdmissionGrant> {
-    const runMs = request.stages.reduce((sum, stage) => sum + stage.usualMs, 0)
+    const runMs = request.stages.reduce((sum, stage) => sum + stage.expectedMs, 0)
     const waitMs = Math.max(0, ...request.stages.map(stage => predictWaitMs(request, stage, committed)))
     const predictedMs = runMs + waitMs
     const allowedMs = request.timeLeftMs * this._fillFactor
@@ -87,7 +87,7 @@
 function predictWaitMs (request: AdmissionRequest, stage: StageForecast, committed: CommittedWork): number {
   const ahead = committed.countAhead(stage.role, request.customer, request.customerWeight, request.priority)
   // Requests of higher priority that arrive later are still served first, so the slots that they use on average are not available.
-  const slots = Math.max(1, stage.slots - committed.estimateHigherPriorityCalls(stage.role, request.priority))
+  const slots = Math.max(1, stage.slotCount - committed.estimateHigherPriorityCalls(stage.role, request.priority))
   const waiting = Math.max(0, ahead + 1 - slots)
-  return waiting / slots * stage.usualMs
+  return waiting / slots * stage.expectedMs
 }
--- a/src/services/admission/test/admissionPolicy.test.ts
+++ b/src/services/admission/test/admissionPolicy.test.ts
@@ -7,7 +7,7 @@
 
 const test = suite('admissionPolicy')
 const policy = new PredictedFinishAdmission({ fillFactor: 1 })
-const request: AdmissionRequest = { customer: 'small', customerWeight: 1, timeLeftMs: 1000, priority: 1, stages: [{ role: 'encode', usualMs: 100, slots: 4 }, { role: 'generate', usualMs: 400, slots: 2 }] }
+const request: AdmissionRequest = { customer: 'small', customerWeight: 1, timeLeftMs: 1000, priority: 1, stages: [{ role: 'encode', expectedMs: 100, slotCount: 4 }, { role: 'generate', expectedMs: 400, slotCount: 2 }] }
 
 function createWork (entries: Readonly<Record<string, number>>, role = 'generate'): CommittedWork {
   const committed = new CommittedWork(new VirtualClock())
